--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,10 +1,12 @@
-// Package ratelimit keeps the limits that upstreams name in their answers: the requests a second that one takes
-// from all instances together.
+// Package ratelimit keeps the limits that upstreams advertise in their responses: how many requests per
+// second an upstream accepts from all instances together.
 //
-// A limit belongs to one process of an upstream and holds until an answer of it names another figure or none.
-// Answers overtake each other, so that an observation counts by when its attempt was sent: an answer to an attempt
-// from before the limit was heard may lower it, but neither raise nor end it.
+// A limit belongs to one process of an upstream and applies until a response of that process advertises
+// another limit or none. Responses may arrive out of order, so an observation is ordered by the time at
+// which its attempt was sent: a response to an attempt that was sent before the current limit was received
+// may lower the limit, but neither raise nor end it.
 //
-// Peers exchange updates with their age, since clocks differ. Ages are off by what a message takes: of two updates that
-// are about as old the lower limit counts, so that two instances don't flap between them.
+// Peers exchange updates with their age, since clocks differ. An age is off by the time that a message
+// takes: of two updates of about the same age the lower limit applies, so that two instances don't
+// alternate between them.
 package ratelimit
--- a/internal/ratelimit/telling_test.go
+++ b/internal/ratelimit/updates_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// A peer's update counts by its age; of two about as old the lower limit does.
-func TestWhichUpdatesOfPeersChangeALimit(t *testing.T) {
+// The newer update wins; of two of about the same age the lower limit applies.
+func TestMergeNewerUpdateOrLowerLimitWins(t *testing.T) {
 	for name, c := range map[string]struct {
-		told    Update
+		update  Update
 		limit   float64
 		limited bool
 	}{
@@ -30,50 +30,50 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBook()
-			b.Observe(at(5), at(5), "a@1", named(2))
-			b.Merge(at(7), "p", []Update{c.told})
-			limit, limited := b.Limit("a@1")
+			r := newRegistry()
+			r.Observe(at(5), at(5), "a@1", limitOf(2))
+			r.Merge(at(7), "p", []Update{c.update})
+			limit, limited := r.Limit("a@1")
 			is.Equal(limited, c.limited)
 			is.Equal(limit, c.limit)
 		})
 	}
 }
 
-// Messages take a while, so that what is told looks newer than it is. Two that tell each other unlike limits of the
-// same age agree on one, and nothing is news for ever.
-func TestTwoThatTellEachOtherAgree(t *testing.T) {
+// An update that was delayed in transit looks newer than it is. Two instances with different limits of the same age
+// must agree on one of them instead of alternating.
+func TestMergeConvergesBetweenTwoInstances(t *testing.T) {
 	is := is.New(t)
-	a, b := newBook(), newBook()
-	a.Observe(at(0), at(0), "u@1", named(2))
-	b.Observe(at(0), at(0), "u@1", named(2))
+	a, b := newRegistry(), newRegistry()
+	a.Observe(at(0), at(0), "u@1", limitOf(2))
+	b.Observe(at(0), at(0), "u@1", limitOf(2))
 	a.Observe(at(1), at(0.5), "u@1", none)
-	b.Observe(at(1), at(0.5), "u@1", named(2))
-	news := 0
+	b.Observe(at(1), at(0.5), "u@1", limitOf(2))
+	changes := 0
 	for i := range 20 {
 		now := 1 + 0.1*float64(i)
 		fromA, fromB := a.NextUpdates(at(now)), b.NextUpdates(at(now))
-		news += len(b.Merge(at(now+0.05), "a", fromA)) + len(a.Merge(at(now+0.05), "b", fromB))
+		changes += len(b.Merge(at(now+0.05), "a", fromA)) + len(a.Merge(at(now+0.05), "b", fromB))
 	}
-	is.True(news <= 2)
+	is.True(changes <= 2)
 	ofA, _ := a.Limit("u@1")
 	ofB, _ := b.Limit("u@1")
 	is.Equal(ofA, ofB)
 }
 
-func TestWhatIsToldIsBoundedAndTellsAll(t *testing.T) {
+func TestNextUpdatesIsBoundedAndCoversAll(t *testing.T) {
 	is := is.New(t)
-	b := newBook()
+	b := newRegistry()
 	for i := range 100 {
-		b.Observe(at(0), at(0), fmt.Sprintf("u-%d@1", i), named(1))
+		b.Observe(at(0), at(0), fmt.Sprintf("u-%d@1", i), limitOf(1))
 	}
-	is.Equal(len(b.NextUpdates(at(0.1))), mostNew)
+	is.Equal(len(b.NextUpdates(at(0.1))), maxRecent)
 	is.Equal(len(b.All(at(0.1))), 100)
-	heard := newBook()
-	for i := range 100/inTurn + 1 {
-		told := b.NextUpdates(at(10 + float64(i)))
-		is.Equal(len(told), inTurn)
-		heard.Merge(at(10+float64(i)), "p", told)
+	receiver := newRegistry()
+	for i := range 100/olderPerMessage + 1 {
+		updates := b.NextUpdates(at(10 + float64(i)))
+		is.Equal(len(updates), olderPerMessage)
+		receiver.Merge(at(10+float64(i)), "p", updates)
 	}
-	is.Equal(len(heard.All(at(50))), 100)
+	is.Equal(len(receiver.All(at(50))), 100)
 }
