--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -1,8 +1,9 @@
-// Package rest keeps which upstreams want nothing from this instance for a while, by their own word.
+// Package rest keeps the backoffs that upstreams have requested from this instance: for how long each of
+// them wants no requests (Retry-After).
 //
-// Rest is between one instance and one upstream. It is no failure: the upstream lives and says when it
-// may be asked again. Then one request goes first, and the others follow once it was answered: what has
-// waited for the end of a rest would otherwise arrive all at once.
+// A backoff is between one instance and one upstream. It is no failure: the upstream is alive and says when
+// it may be sent to again. After a backoff one request goes first, and the others follow once it has been
+// answered; otherwise all requests that waited for the end of the backoff would arrive at once.
 package rest
 
 import (
@@ -14,102 +15,104 @@
 )
 
 const (
-	// MaxBackoff bounds what an upstream may ask for: beyond a day it is a mistake.
+	// MaxBackoff bounds the backoff that an upstream may request; a longer one is taken for a mistake.
 	MaxBackoff = 24 * time.Hour
-	// trialFor is how long the first request after a rest may be without an answer before another one is
+	// probeTimeout is how long the first request after a backoff may stay unanswered before another one is
 	// let through.
-	trialFor = 2 * time.Second
-	// trialPause is when others may look whether it was answered.
-	trialPause = 50 * time.Millisecond
+	probeTimeout = 2 * time.Second
+	// probePollInterval is the interval at which other requests check whether it was answered.
+	probePollInterval = 50 * time.Millisecond
 )
 
-// ErrBackingOff: the upstream has asked for rest.
-var ErrBackingOff = errors.New("the upstream has asked this instance for rest")
+// ErrBackingOff means that the upstream has requested a backoff from this instance.
+var ErrBackingOff = errors.New("the upstream has requested a backoff from this instance")
 
-// Backoffs are the upstreams that rest. Safe for concurrent use.
+// Backoffs holds the requested backoffs, by upstream. Safe for concurrent use.
 type Backoffs struct {
-	mu sync.Mutex
-	by map[string]*rest // by upstream
+	mu         sync.Mutex
+	byUpstream map[string]*backoff
 }
 
-// rest of one upstream.
-type rest struct {
-	// process that asked: another one under the upstream's ID hasn't.
+// backoff is the one that an upstream has requested.
+type backoff struct {
+	// process requested it; it doesn't apply to another process under the ID of the upstream.
 	process string
 	until   time.Time
-	// tried is when a request was let through after the rest; zero: none is under way.
-	tried time.Time
+	// probedAt is when a request was let through after the backoff; zero if none is in flight.
+	probedAt time.Time
 }
 
-// New returns Rests of which there are none.
-func New() *Backoffs { return &Backoffs{by: map[string]*rest{}} }
+// New returns Backoffs without any entry.
+func New() *Backoffs { return &Backoffs{byUpstream: map[string]*backoff{}} }
 
-// Begin notes that an upstream's process wants nothing for so long.
+// Begin records that a process of an upstream wants no requests for the given duration, at most MaxBackoff.
 func (r *Backoffs) Begin(now time.Time, upstream, process string, wanted time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until := now.Add(min(wanted, MaxBackoff))
-	if before := r.by[upstream]; before != nil && before.process == process && before.until.After(until) {
-		until = before.until // answers may overtake each other
+	if previous := r.byUpstream[upstream]; previous != nil && previous.process == process && previous.until.After(until) {
+		until = previous.until // responses may arrive out of order
 	}
-	r.by[upstream] = &rest{process: process, until: until}
+	r.byUpstream[upstream] = &backoff{process: process, until: until}
 }
 
-// Clear notes that an upstream has answered a request without asking for rest.
+// Clear records that an upstream has answered a request without requesting a backoff. It removes a backoff
+// that has ended.
 func (r *Backoffs) Clear(now time.Time, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s := r.by[upstream]; s != nil && !now.Before(s.until) {
-		delete(r.by, upstream)
+	if s := r.byUpstream[upstream]; s != nil && !now.Before(s.until) {
+		delete(r.byUpstream, upstream)
 	}
 }
 
-// ReleaseClaim notes that a request that was let through ended without an answer.
+// ReleaseClaim records that a request that was let through ended without a response, so that another one may
+// be let through.
 func (r *Backoffs) ReleaseClaim(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s := r.by[upstream]; s != nil {
-		s.tried = time.Time{}
+	if s := r.byUpstream[upstream]; s != nil {
+		s.probedAt = time.Time{}
 	}
 }
 
-// Check tells whether an upstream may be sent to now.
+// Check returns ErrBackingOff if an upstream may not be sent to now.
 func (r *Backoffs) Check(now time.Time, upstream string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s := r.by[upstream]; s != nil && !s.isFree(now) {
+	if s := r.byUpstream[upstream]; s != nil && !s.allows(now) {
 		return ErrBackingOff
 	}
 	return nil
 }
 
-// Claim is May for a request that is sent now: the first one after a rest claims the upstream until it has
-// answered.
+// Claim is Check for a request that is sent now: the first one after a backoff claims the upstream until it
+// is answered.
 func (r *Backoffs) Claim(now time.Time, upstream string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.by[upstream]
+	s := r.byUpstream[upstream]
 	switch {
 	case s == nil:
 		return nil
-	case !s.isFree(now):
+	case !s.allows(now):
 		return ErrBackingOff
 	}
-	s.tried = now
+	s.probedAt = now
 	return nil
 }
 
-// isFree tells whether a request may go, the first one after the rest.
-func (s *rest) isFree(now time.Time) bool {
-	return !now.Before(s.until) && (s.tried.IsZero() || now.Sub(s.tried) >= trialFor)
+// allows reports whether a request may be sent, as the first one after the backoff.
+func (s *backoff) allows(now time.Time) bool {
+	return !now.Before(s.until) && (s.probedAt.IsZero() || now.Sub(s.probedAt) >= probeTimeout)
 }
 
-// BackingOff returns the upstreams that may not be sent to now, in order.
+// BackingOff returns the upstreams that may not be sent to now, sorted.
 func (r *Backoffs) BackingOff(now time.Time) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for upstream, s := range r.by {
-		if !s.isFree(now) {
+	for upstream, s := range r.byUpstream {
+		if !s.allows(now) {
 			out = append(out, upstream)
 		}
 	}
@@ -117,34 +120,34 @@
 	return out
 }
 
-// Remaining returns in how long an upstream may be sent to, or looked at again where the first request after a rest
-// is under way; 0 where it may now.
+// Remaining returns the time until an upstream may be sent to, 0 if it may now. While the first request after
+// the backoff is in flight, it is the time until the caller should check again.
 func (r *Backoffs) Remaining(now time.Time, upstream string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.by[upstream]
+	s := r.byUpstream[upstream]
 	switch {
-	case s == nil, s.isFree(now):
+	case s == nil, s.allows(now):
 		return 0
 	case now.Before(s.until):
 		return s.until.Sub(now)
 	default:
-		return trialPause
+		return probePollInterval
 	}
 }
 
-// DropStale forgets the rest of an upstream unless this process of it has asked for it.
+// DropStale removes the backoff of an upstream unless the given process of it has requested it.
 func (r *Backoffs) DropStale(upstream, process string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s := r.by[upstream]; s != nil && s.process != process {
-		delete(r.by, upstream)
+	if s := r.byUpstream[upstream]; s != nil && s.process != process {
+		delete(r.byUpstream, upstream)
 	}
 }
 
-// Prune forgets rests that were over before a time.
+// Prune removes the backoffs that ended before the given time.
 func (r *Backoffs) Prune(before time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.by, func(_ string, s *rest) bool { return s.until.Before(before) })
+	maps.DeleteFunc(r.byUpstream, func(_ string, s *backoff) bool { return s.until.Before(before) })
 }
