--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota bounds what each organisation uses, by a token bucket for each.
+// Package quota limits what each organisation uses, with one token bucket per organisation.
 //
-// Over all instances the bound holds because one of them keeps an organisation's bucket
-// and the others ask it (fleet.Quotas says which). An instance that is asked grants the
-// part of the quota that the instances within its reach have together, so instances that
-// are cut apart keep the bound together.
+// The limit holds over all instances because one of them keeps an organisation's bucket and
+// the others request tokens from it (fleet.Quotas determines which). That instance grants the
+// share of the quota that belongs to the instances it can reach, so that the sides of a network
+// partition keep the limit together.
 package quota
 
 import (
@@ -11,58 +11,59 @@
 	"time"
 )
 
-// startingShare is the part of its burst that a bucket holds when it is first used here:
-// another instance may have kept it until now, and have used up a burst. While a fleet
-// starts, a bucket may change hands a few times, and a fleet may start twice in a window:
-// with a quarter, two starts within four seconds passed a quota of 8 s and a quarter more.
-const startingShare = 0.15
+// initialBurstShare is the share of its burst that a bucket holds when it is first used on this
+// instance: another instance may have kept the bucket until now and have granted a full burst.
+// While a fleet starts, a bucket may change its owner a few times, and a fleet may start twice in
+// a window: with a share of 0.25, two starts within 4 s exceeded a quota of 8 s by more than a quarter.
+const initialBurstShare = 0.15
 
-// Limit is what an organisation may use.
+// Limit is the limit of an organisation's bucket, in tokens.
 type Limit struct {
-	// Rate in tokens a second.
+	// Rate at which the bucket fills, in tokens per second.
 	Rate float64
-	// Burst may be used beyond it at once.
+	// Burst is the capacity of the bucket.
 	Burst float64
-	// Debt is what a grant may go below an empty bucket, so that a large request isn't held
-	// off for ever. It is paid off before anything else is granted.
+	// Debt is how far a grant may take the bucket below zero, so that a large request isn't
+	// refused for ever. It is paid off before anything else is granted.
 	Debt float64
-	// Reserve is left in the bucket for what is more important; a half of the burst at most.
+	// Reserve is what a grant has to leave in the bucket for requests of a higher tier; at most
+	// half of the burst applies.
 	Reserve float64
 }
 
-// Scale returns a part of the limit.
-func (l Limit) Scale(part float64) Limit {
-	return Limit{Rate: l.Rate * part, Burst: l.Burst * part, Debt: l.Debt * part, Reserve: l.Reserve * part}
+// Scale returns the limit times share.
+func (l Limit) Scale(share float64) Limit {
+	return Limit{Rate: l.Rate * share, Burst: l.Burst * share, Debt: l.Debt * share, Reserve: l.Reserve * share}
 }
 
-// mostReserved is the part of the burst that a reserve takes at most: a bucket that never holds more
-// would grant nothing.
-const mostReserved = 0.5
+// maxReserveShare bounds the reserve, as a share of the burst: a bucket whose reserve is as large as its
+// burst would grant nothing.
+const maxReserveShare = 0.5
 
 // Limiter keeps buckets. Safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
-	started time.Time // new buckets have filled up since; zero: they hold a part of the burst
+	started time.Time // new buckets were empty then; if zero, they hold initialBurstShare of their burst
 	buckets map[string]*bucket
 }
 
-// bucket of one organisation.
+// bucket is the token bucket of one organisation.
 type bucket struct {
-	level  float64 // tokens that may be granted; negative is a debt
-	filled time.Time
+	level  float64   // in tokens; negative while in debt
+	filled time.Time // when level was last updated
 }
 
-// New returns a limiter whose buckets begin with a part of their burst.
+// New returns a limiter whose buckets begin with initialBurstShare of their burst.
 func New() *Limiter { return &Limiter{buckets: map[string]*bucket{}} }
 
-// NewStarting returns a limiter for the time after a start, when an instance knows neither
-// what was used before nor all of those with which it shares: its buckets were empty then
-// and have no burst.
+// NewStarting returns a limiter for the time after the start of an instance, which knows neither
+// the earlier usage nor all instances that share the quota. Its buckets are empty at the given
+// time and fill from then on.
 func NewStarting(started time.Time) *Limiter {
 	return &Limiter{started: started, buckets: map[string]*bucket{}}
 }
 
-// Take grants an organisation tokens. When it doesn't, wait is when to come back.
+// Take grants tokens to an organisation, or returns the time after which to retry.
 func (l *Limiter) Take(now time.Time, name string, limit Limit, tokens int) (granted bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,9 +73,9 @@
 		l.buckets[name] = b
 	}
 	b.fill(now, limit)
-	needed := max(float64(tokens)-limit.Debt, 1) + min(limit.Reserve, mostReserved*limit.Burst)
+	needed := max(float64(tokens)-limit.Debt, 1) + min(limit.Reserve, maxReserveShare*limit.Burst)
 	if b.level < needed {
-		return false, needs(needed-b.level, limit.Rate)
+		return false, timeToFill(needed-b.level, limit.Rate)
 	}
 	b.level -= float64(tokens)
 	return true, 0
@@ -82,7 +83,7 @@
 
 func (l *Limiter) newBucket(now time.Time, limit Limit) *bucket {
 	if l.started.IsZero() {
-		return &bucket{level: startingShare * limit.Burst, filled: now}
+		return &bucket{level: initialBurstShare * limit.Burst, filled: now}
 	}
 	return &bucket{filled: l.started}
 }
@@ -96,14 +97,14 @@
 	}
 }
 
-// needs is the time in which so many tokens come at a rate.
-func needs(tokens, rate float64) time.Duration {
+// timeToFill returns the time in which a bucket gains the given tokens at a rate per second.
+func timeToFill(tokens, rate float64) time.Duration {
 	return time.Duration(tokens / rate * float64(time.Second))
 }
 
 func (b *bucket) fill(now time.Time, limit Limit) {
-	if passed := now.Sub(b.filled); passed > 0 {
-		b.level += limit.Rate * passed.Seconds()
+	if elapsed := now.Sub(b.filled); elapsed > 0 {
+		b.level += limit.Rate * elapsed.Seconds()
 		b.filled = now
 	}
 	b.level = min(b.level, limit.Burst)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,8 +13,8 @@
 	start = time.Unix(1000, 0)
 )
 
-// press asks for size tokens every step for some time, and returns what was granted.
-func press(l *Limiter, from time.Time, limit Limit, size int, step, length time.Duration) (granted int) {
+// takeRepeatedly takes size tokens every step for the given time, and returns how many were granted.
+func takeRepeatedly(l *Limiter, from time.Time, limit Limit, size int, step, length time.Duration) (granted int) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(step) {
 		if ok, _ := l.Take(now, "crews", limit, size); ok {
 			granted += size
@@ -23,16 +23,16 @@
 	return granted
 }
 
-func TestABucketGrantsItsRateAndABurst(t *testing.T) {
+func TestBucketGrantsRateAndBurst(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	_, _ = l.Take(start.Add(time.Minute), "crews", limit, 0)
-	granted := press(l, start.Add(2*time.Minute), limit, 50, 10*time.Millisecond, 10*time.Second)
+	granted := takeRepeatedly(l, start.Add(2*time.Minute), limit, 50, 10*time.Millisecond, 10*time.Second)
 	is.True(granted >= 10_400)
 	is.True(granted <= 10_600)
 }
 
-func TestALargeRequestRunsIntoDebt(t *testing.T) {
+func TestLargeRequestTakesBucketIntoDebt(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	now := start.Add(time.Minute)
@@ -47,25 +47,25 @@
 	is.Equal(wait, 301*time.Millisecond)
 }
 
-// Instances that are cut apart keep the bound together, each by its part.
-func TestPartsAddUpToTheWhole(t *testing.T) {
+// Instances on different sides of a network partition keep the limit together, each with its share.
+func TestScaledLimitsAddUpToTheWhole(t *testing.T) {
 	is := is.New(t)
 	granted := 0
 	for range 6 {
-		granted += press(New(), start.Add(time.Minute), limit.Scale(1.0/6), 20, 20*time.Millisecond, 10*time.Second)
+		granted += takeRepeatedly(New(), start.Add(time.Minute), limit.Scale(1.0/6), 20, 20*time.Millisecond, 10*time.Second)
 	}
 	is.True(granted >= 10_000*95/100)
 	is.True(granted <= 10_500*105/100)
 }
 
-// An instance that has just started has no burst of its own.
-func TestAStartBringsNoBurst(t *testing.T) {
+// An instance that has just started must not grant a burst.
+func TestNewStartingGrantsNoBurst(t *testing.T) {
 	is := is.New(t)
 	l := NewStarting(start)
 	ok, wait := l.Take(start, "crews", limit, 10)
 	is.True(!ok)
 	is.Equal(wait, time.Millisecond)
-	granted := press(l, start, limit, 1, time.Millisecond, 400*time.Millisecond)
+	granted := takeRepeatedly(l, start, limit, 1, time.Millisecond, 400*time.Millisecond)
 	is.True(granted >= 398 && granted <= 400) // its rate since then
 }
 
@@ -75,7 +75,7 @@
 	bounded := limit
 	bounded.Debt = 100
 	now := start.Add(time.Hour)
-	ok, wait := l.Take(now, "crews", bounded, 200) // 75 are there
+	ok, wait := l.Take(now, "crews", bounded, 200) // the bucket holds 75
 	is.True(!ok)
 	is.Equal(wait, 25*time.Millisecond)
 	ok, _ = l.Take(now, "crews", bounded, 150)
@@ -84,9 +84,8 @@
 	is.True(!ok)
 }
 
-// Whoever takes a bucket over doesn't grant the whole burst once more, however long it has
-// run.
-func TestABucketThatIsTakenOverHoldsAPartOfTheBurst(t *testing.T) {
+// An instance that takes over a bucket must not grant the full burst again, however long it has run.
+func TestNewBucketHoldsShareOfBurst(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	now := start.Add(time.Hour)
@@ -96,7 +95,7 @@
 	is.True(!ok)
 }
 
-func TestUnusedTokensComeBack(t *testing.T) {
+func TestReturnRestoresUnusedTokens(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	now := start.Add(time.Hour)
@@ -104,12 +103,12 @@
 	l.Return("crews", 800)
 	ok, _ := l.Take(now, "crews", limit, 1)
 	is.True(ok)
-	l.Return("unknown", 1) // it was granted before a restart: nothing to give back to
+	l.Return("unknown", 1) // tokens granted before a restart have no bucket
 }
 
-// While an organisation asks for more than its quota, what is more important finds tokens: the rest has to
-// leave some. Without the reserve all kinds are refused alike, and the largest the most.
-func TestWhatIsMoreImportantFindsTokens(t *testing.T) {
+// While an organisation exceeds its quota, requests of the higher tier still get tokens, since those of the lower one
+// have to leave a reserve. Without it all tiers are refused, and the largest requests the most.
+func TestReserveKeepsTokensForHigherTier(t *testing.T) {
 	is := is.New(t)
 	for _, reserve := range []float64{0, 4} { // times its own tokens
 		l, now := New(), time.Now()
@@ -140,8 +139,8 @@
 	}
 }
 
-// A reserve never takes more than a half of what the bucket holds at most.
-func TestAReserveLeavesRoomInASmallBucket(t *testing.T) {
+// The reserve is at most half of the burst, so that a small bucket still grants requests of lower tiers.
+func TestReserveIsBoundedInSmallBucket(t *testing.T) {
 	is := is.New(t)
 	l, now := New(), time.Now()
 	limit := Limit{Rate: 100, Burst: 100, Debt: math.Inf(1), Reserve: 1e6}
