--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-// Package retrybudget bounds how many requests are sent again, so that retries don't
+// Package retrybudget limits how many requests are retried, so that retries don't
 // multiply a burst or an outage.
 package retrybudget
 
@@ -7,74 +7,74 @@
 	"time"
 )
 
-// Options of a Budget.
+// Options configure a Budget, in retries.
 type Options struct {
-	// Share of the first attempts that may be sent again.
+	// Share of the first attempts that may be retried.
 	Share float64
-	// Initial is what a quiet instance may send again at once, and what it starts with.
+	// Initial is the balance at first: what an instance without traffic may retry at once.
 	Initial float64
-	// Max bounds what can be saved up.
+	// Max bounds the balance.
 	Max float64
-	// PerSecond is granted whatever the number of first attempts; 0 is none.
+	// PerSecond is added each second, independent of first attempts; 0 for none.
 	PerSecond float64
 }
 
-// Budget counts one instance's repeats. Safe for concurrent use.
+// Budget is a balance of retries, filled by first attempts and by time. Safe for concurrent use.
 type Budget struct {
-	mu     sync.Mutex
-	o      Options
-	saved  float64
-	filled time.Time
+	mu       sync.Mutex
+	o        Options
+	balance  float64
+	refilled time.Time // when PerSecond was last added
 }
 
-// New returns a budget that holds its floor.
-func New(o Options) *Budget { return &Budget{o: o, saved: o.Initial, filled: time.Now()} }
+// New returns a budget with its initial balance.
+func New(o Options) *Budget { return &Budget{o: o, balance: o.Initial, refilled: time.Now()} }
 
-// Deposit records a first attempt.
+// Deposit records a first attempt, which adds Share of a retry.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(b.o.Share)
 }
 
-// Withdraw takes one repeat, if the budget has it.
+// Withdraw takes one retry and reports whether the balance allowed it.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.add(b.o.PerSecond * now.Sub(b.filled).Seconds())
-	b.filled = now
-	if b.saved < 1 {
+	b.add(b.o.PerSecond * now.Sub(b.refilled).Seconds())
+	b.refilled = now
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
 
-// Return gives back a repeat that was taken and wasn't made.
+// Return gives back a retry that was withdrawn but not made.
 func (b *Budget) Return() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(1)
 }
 
-func (b *Budget) add(n float64) { b.saved = min(b.saved+n, b.o.Max) }
+func (b *Budget) add(n float64) { b.balance = min(b.balance+n, b.o.Max) }
 
 // Bound is a bound over all instances: in any Window, Share of the requests and Extra
-// more may be sent again.
+// more may be retried.
 type Bound struct {
 	Share  float64
 	Extra  float64
 	Window time.Duration
 }
 
-// shareMargin keeps a part of the share back for repeats that count differently at
-// the upstreams, such as one that arrives in a later window than its first attempt.
+// shareMargin holds back some of the share for retries that the upstreams count in another
+// window, such as one that arrives in a later window than its first attempt.
 const shareMargin = 0.8
 
-// PerInstance returns the options of one of so many instances, so that together they keep
-// the bound in each window: a half of the extra is held at once, the other half
-// comes back over a window.
+// PerInstance returns the options of one of the given number of instances, so that together they
+// keep the bound in each window: half of the extra is available at once, the other half
+// is refilled over a window.
 func (s Bound) PerInstance(instances int) Options {
 	half := s.Extra / 2 / float64(max(instances, 1))
 	return Options{
@@ -85,15 +85,15 @@
 	}
 }
 
-// ownedPart is the part of the extra that an owner holds at once, and that comes back to it over a window. A
-// third, since another instance may take the part over within a window, with a third of its own.
-const ownedPart = 1.0 / 3
+// ownerShare is the share of the extra that an owner holds at once, and that is refilled over a window. It is a
+// third, since another instance may take over the shard within a window, with a third of its own.
+const ownerShare = 1.0 / 3
 
-// PerOwner returns the options of the owner of one of so many parts of a service, where it and those within its
-// reach are a part of the fleet. However many instances there are, a part has one owner at a time, so what it
-// holds is large enough to be used. It starts empty.
-func (s Bound) PerOwner(parts int, reached float64) Options {
-	held := s.Extra * ownedPart * reached / float64(max(parts, 1))
+// PerOwner returns the options of the owner of one of the given number of shards of a service; reachable is the share
+// of the fleet that the owner can reach, itself included. A shard has one owner at a time however many instances there
+// are, so its budget is large enough to be used. It starts empty.
+func (s Bound) PerOwner(shards int, reachable float64) Options {
+	held := s.Extra * ownerShare * reachable / float64(max(shards, 1))
 	return Options{
 		Share:     s.Share * shareMargin,
 		Max:       held,
@@ -101,7 +101,7 @@
 	}
 }
 
-// SetOptions changes the options and keeps what is saved, within the new ceiling.
+// SetOptions replaces the options and keeps the balance, up to the new maximum.
 func (b *Budget) SetOptions(o Options) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// drain withdraws until the budget refuses.
+// drain withdraws until the budget refuses, and returns the number of retries.
 func drain(b *Budget) (n int) {
 	for b.Withdraw() {
 		n++
@@ -16,7 +16,7 @@
 	return n
 }
 
-func TestRepeatsFollowFirstAttempts(t *testing.T) {
+func TestFirstAttemptsAddRetriesUpToMax(t *testing.T) {
 	is := is.New(t)
 	b := New(Options{Share: 0.5, Initial: 2, Max: 4})
 	is.Equal(drain(b), 2)
@@ -27,65 +27,65 @@
 	for range 100 {
 		b.Deposit()
 	}
-	is.Equal(drain(b), 4) // no more than the ceiling is saved up
+	is.Equal(drain(b), 4) // the balance is bounded by Max
 }
 
-func TestInstancesTogetherKeepTheBoundInEachWindow(t *testing.T) {
+func TestInstancesTogetherKeepBoundInEachWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		slack := Bound{Share: 0.2, Extra: 60, Window: 10 * time.Second}
+		bound := Bound{Share: 0.2, Extra: 60, Window: 10 * time.Second}
 		const instances = 6
-		repeats := 0
+		retries := 0
 		for range instances {
-			b := New(slack.PerInstance(instances))
-			repeats += drain(b)
+			b := New(bound.PerInstance(instances))
+			retries += drain(b)
 			for range 10 {
 				<-time.After(time.Second)
-				repeats += drain(b)
+				retries += drain(b)
 			}
 		}
-		is.True(repeats <= 60)
-		is.True(repeats >= 40) // most of it is usable
+		is.True(retries <= 60)
+		is.True(retries >= 40) // most of it is usable
 	})
 }
 
-func TestAFewerShareIsHeldOnceMoreInstancesAreKnown(t *testing.T) {
+func TestSetOptionsReducesBalanceForMoreInstances(t *testing.T) {
 	is := is.New(t)
-	slack := Bound{Share: 0.2, Extra: 60, Window: 10 * time.Second}
-	b := New(slack.PerInstance(1))
-	b.SetOptions(slack.PerInstance(6))
+	bound := Bound{Share: 0.2, Extra: 60, Window: 10 * time.Second}
+	b := New(bound.PerInstance(1))
+	b.SetOptions(bound.PerInstance(6))
 	is.Equal(drain(b), 5)
 }
 
-// Owners of the parts of a service together keep the bound in each window, also where each part changes its
-// owner within it. How many instances there are doesn't matter.
-func TestOwnersTogetherKeepTheBoundInEachWindow(t *testing.T) {
+// The owners of the shards of a service together keep the bound in each window, also if each shard changes its
+// owner within it. The number of instances doesn't matter.
+func TestOwnersTogetherKeepBoundInEachWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		slack := Bound{Share: 0.2, Extra: 640, Window: 10 * time.Second}
-		const parts = 23
-		repeats := 0
-		for range parts {
-			before, after := New(slack.PerOwner(parts, 1)), New(slack.PerOwner(parts, 1))
-			<-time.After(10 * time.Second) // what they may hold comes back
-			repeats += drain(before)
+		bound := Bound{Share: 0.2, Extra: 640, Window: 10 * time.Second}
+		const shards = 23
+		retries := 0
+		for range shards {
+			previous, next := New(bound.PerOwner(shards, 1)), New(bound.PerOwner(shards, 1))
+			<-time.After(10 * time.Second) // both balances fill to their maximum
+			retries += drain(previous)
 			<-time.After(5 * time.Second)
-			repeats += drain(before)
-			repeats += drain(after)
+			retries += drain(previous)
+			retries += drain(next)
 			<-time.After(5 * time.Second)
-			repeats += drain(after)
+			retries += drain(next)
 		}
-		is.True(repeats <= 640)
-		is.True(repeats >= 500)
+		is.True(retries <= 640)
+		is.True(retries >= 500)
 	})
 }
 
-// An owner that reaches a part of the fleet alone holds that part.
-func TestAnOwnerThatReachesHalfOfTheFleetHoldsHalf(t *testing.T) {
+// An owner that can reach only a share of the fleet holds that share of the budget.
+func TestOwnerThatReachesHalfOfTheFleetHoldsHalf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		slack := Bound{Extra: 60, Window: 10 * time.Second}
-		b := New(slack.PerOwner(1, 0.5))
+		bound := Bound{Extra: 60, Window: 10 * time.Second}
+		b := New(bound.PerOwner(1, 0.5))
 		is.Equal(drain(b), 0) // it starts empty
 		<-time.After(20 * time.Second)
 		is.Equal(drain(b), 10)
