--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,17 @@
-// Package gossip picks what one message tells peers: what is new, repeated for a while since messages get lost, and of
-// the rest some in turn, so that a peer that knows nothing hears of all.
+// Package gossip selects what one message to peers contains: recent changes, which are repeated for a while
+// since messages get lost, and a few older ones round-robin, so that a peer that has just started receives
+// all of them in the end.
 package gossip
 
 import "slices"
 
-// Select returns the first of what is fresh, mostFresh at most, and the next inTurn of the rest. Turn counts what was
-// picked of the rest; the caller keeps it from one message to the next.
-func Select[T any](fresh, rest []T, mostFresh, inTurn int, turn *int) []T {
-	out := slices.Clone(fresh[:min(len(fresh), mostFresh)])
-	for range min(inTurn, len(rest)) {
-		*turn++
-		out = append(out, rest[*turn%len(rest)])
+// Select returns the first maxRecent of the recent items and the next olderPerMessage of the older ones. cursor
+// is the round-robin position among the older items; the caller keeps it from one message to the next.
+func Select[T any](recent, older []T, maxRecent, olderPerMessage int, cursor *int) []T {
+	out := slices.Clone(recent[:min(len(recent), maxRecent)])
+	for range min(olderPerMessage, len(older)) {
+		*cursor++
+		out = append(out, older[*cursor%len(older)])
 	}
 	return out
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -7,23 +7,23 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatIsFreshIsBoundedAndTheRestComesInTurn(t *testing.T) {
+func TestSelectBoundsRecentAndCyclesThroughOlder(t *testing.T) {
 	is := is.New(t)
-	fresh, rest := []string{"a", "b", "c"}, []string{"p", "q", "r", "s", "t"}
-	turn := 0
-	heard := map[string]int{}
+	recent, older := []string{"a", "b", "c"}, []string{"p", "q", "r", "s", "t"}
+	cursor := 0
+	sent := map[string]int{}
 	for range 5 {
-		told := Select(fresh, rest, 2, 2, &turn)
-		is.Equal(len(told), 4)
-		is.True(slices.Equal(told[:2], []string{"a", "b"}))
-		for _, name := range told[2:] {
-			heard[name]++
+		selected := Select(recent, older, 2, 2, &cursor)
+		is.Equal(len(selected), 4)
+		is.True(slices.Equal(selected[:2], []string{"a", "b"}))
+		for _, name := range selected[2:] {
+			sent[name]++
 		}
 	}
-	for _, name := range rest {
-		is.Equal(heard[name], 2)
+	for _, name := range older {
+		is.Equal(sent[name], 2)
 	}
-	is.Equal(fresh, []string{"a", "b", "c"}) // what is picked is the caller's own
-	is.Equal(Select(nil, rest[:1], 2, 2, &turn), []string{"p"})
-	is.Equal(len(Select[string](nil, nil, 2, 2, &turn)), 0)
+	is.Equal(recent, []string{"a", "b", "c"}) // the result doesn't share memory with the input
+	is.Equal(Select(nil, older[:1], 2, 2, &cursor), []string{"p"})
+	is.Equal(len(Select[string](nil, nil, 2, 2, &cursor)), 0)
 }
