--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,23 +1,23 @@
-// Package subset chooses which upstreams an instance uses where a zone has many, so
-// that what it remembers of each stays bounded.
+// Package subset selects which upstreams an instance uses if a zone has many, so that
+// the state it keeps for them stays bounded.
 //
 // Each upstream is held by the few instances that rank highest in a hash of the two
 // (rendezvous hashing). So every upstream is held by the same number of instances,
-// all instances that see one list agree without talking, and an instance that comes
-// or goes changes only what it holds. Lists that differ for a while do no harm:
-// holding is no right, only a choice.
+// all instances with the same list agree without communication, and an instance that is
+// added or removed moves only the upstreams that it holds. Lists that differ for a while do no harm:
+// a subset is a selection, not an exclusive claim.
 package subset
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// MinHolders is the least number of instances that hold an upstream, so that the
-// loss of one or two leaves it in use.
+// MinHolders is the minimum number of instances that hold an upstream, so that it stays
+// in use after the loss of one or two.
 const MinHolders = 3
 
 // Select returns the upstreams, in their order, that self holds among the instances.
-// Want is how many it should hold about; with fewer upstreams it holds all.
+// It aims at want upstreams for each instance; with fewer upstreams self holds all.
 func Select(self string, instances, upstreams []string, want int) []string {
 	k := holders(len(instances), len(upstreams), want)
 	if k >= len(instances) {
@@ -32,7 +32,7 @@
 	return out
 }
 
-// holders is how many instances hold each upstream.
+// holders returns the number of instances that hold each upstream.
 func holders(instances, upstreams, want int) int {
 	if upstreams == 0 {
 		return instances
@@ -41,7 +41,7 @@
 	return max(k, MinHolders)
 }
 
-// ranksAmong tells whether self is among the k highest of the instances.
+// ranksAmong reports whether self is among the k instances that rank highest for the upstream.
 func ranksAmong(k int, self, upstream string, instances []string) bool {
 	own := weight(self, upstream)
 	above := 0
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -15,8 +15,8 @@
 	return out
 }
 
-// hold counts the holders of each upstream and the size of each subset.
-func hold(instances, upstreams []string, want int) (holders map[string]int, sizes []int) {
+// countHolders counts the holders of each upstream and the size of each subset.
+func countHolders(instances, upstreams []string, want int) (holders map[string]int, sizes []int) {
 	holders = map[string]int{}
 	for _, i := range instances {
 		own := Select(i, instances, upstreams, want)
@@ -28,19 +28,19 @@
 	return holders, sizes
 }
 
-func TestEveryUpstreamIsHeldEqually(t *testing.T) {
+func TestEveryUpstreamHasTheSameNumberOfHolders(t *testing.T) {
 	for _, c := range []struct{ instances, upstreams, want, holders int }{
-		{2, 14, 48, 2},     // a zone of today: all
-		{7, 55, 48, 7},     // a deployment of today: all
-		{81, 1430, 48, 3},  // a zone of the target
+		{2, 14, 48, 2},     // a zone today: all
+		{7, 55, 48, 7},     // a deployment today: all
+		{81, 1430, 48, 3},  // a zone at target scale
 		{81, 100, 48, 39},  // few upstreams, many instances
-		{200, 5000, 48, 3}, // beyond the target
+		{200, 5000, 48, 3}, // beyond target scale
 	} {
 		t.Run(fmt.Sprintf("%d of %d", c.instances, c.upstreams), func(t *testing.T) {
 			is := is.New(t)
 			instances, upstreams := names("10.1", c.instances), names("10.2", c.upstreams)
-			holders, sizes := hold(instances, upstreams, c.want)
-			is.Equal(len(holders), c.upstreams) // none is left out
+			holders, sizes := countHolders(instances, upstreams, c.want)
+			is.Equal(len(holders), c.upstreams) // every upstream is held
 			for _, n := range holders {
 				is.Equal(n, c.holders)
 			}
@@ -52,15 +52,15 @@
 	}
 }
 
-// An instance that goes leaves its upstreams to others, and changes nothing else.
-func TestALostInstanceChangesLittle(t *testing.T) {
+// A removed instance leaves its upstreams to the others; no other assignment changes.
+func TestRemovedInstanceMovesOnlyItsUpstreams(t *testing.T) {
 	is := is.New(t)
 	instances, upstreams := names("10.1", 81), names("10.2", 1430)
-	gone, rest := instances[0], instances[1:]
-	lost := len(Select(gone, instances, upstreams, 48))
+	removed, others := instances[0], instances[1:]
+	lost := len(Select(removed, instances, upstreams, 48))
 	gained := 0
-	for _, i := range rest {
-		before, after := Select(i, instances, upstreams, 48), Select(i, rest, upstreams, 48)
+	for _, i := range others {
+		before, after := Select(i, instances, upstreams, 48), Select(i, others, upstreams, 48)
 		is.True(len(after) >= len(before))
 		gained += len(after) - len(before)
 	}
