--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -21,28 +21,28 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// What a deployment's sheet says of cold upstreams: they bear coldBears requests a second for
-// coldLasts, and crash at more than coldMost in any second.
+// What a deployment's sheet says of cold upstreams: they bear coldRate requests a second for
+// coldDuration, and crash at more than maxColdPerSecond in any second.
 const (
-	coldBears    = 10
-	coldLasts    = 3 * time.Second
-	coldOverage  = 1.5
-	coldSlack    = 5
-	coldMost     = coldBears*coldOverage + coldSlack
-	coldLength   = 25 * time.Second
-	coldStep     = 10 * time.Millisecond
-	coldFleet    = 10
-	coldServers  = 6
-	coldRuns     = 400 * time.Millisecond
-	coldPressure = 14.0 // requests a second for each upstream, over all instances
+	coldRate         = 10
+	coldDuration     = 3 * time.Second
+	coldOverage      = 1.5
+	coldSlack        = 5
+	maxColdPerSecond = coldRate*coldOverage + coldSlack
+	coldRunLength    = 25 * time.Second
+	coldStep         = 10 * time.Millisecond
+	coldInstances    = 10
+	coldUpstreams    = 6
+	coldRequestTime  = 400 * time.Millisecond
+	coldDemand       = 14.0 // requests a second for each upstream, over all instances
 )
 
-// coldPlays is how many plays are made, each with a seed of its own.
-var coldPlays = flag.Uint64("cold-plays", 12, "plays of upstreams that become cold")
+// coldRunCount is how many plays are made, each with a seed of its own.
+var coldRunCount = flag.Uint64("cold-plays", 12, "plays of upstreams that become cold")
 
-// coldWorld is a fleet before upstreams that become cold now and then. Instances are cut from each
+// coldHarness is a fleet before upstreams that become cold now and then. Instances are cut from each
 // other, freeze with leases in hand, and start again knowing nothing; all of them reach all upstreams.
-type coldWorld struct {
+type coldHarness struct {
 	random  *rand.Rand
 	members []*coldMember
 	side    map[string]int       // by address; those of unlike sides don't reach each other
@@ -51,26 +51,26 @@
 	worst   int
 	list    []view.Upstream
 	version int64
-	agenda
+	eventQueue
 }
 
-// agenda is what is to happen in a simulated world. All of it happens in one goroutine, step by step, so that a
+// eventQueue is what is to happen in a simulated world. All of it happens in one goroutine, step by step, so that a
 // seed plays the same each time.
-type agenda struct{ due []event }
+type eventQueue struct{ due []event }
 
 // event is what happens at a time.
 type event struct {
-	at     time.Time
-	happen func()
+	at  time.Time
+	run func()
 }
 
-// later lets something happen.
-func (a *agenda) later(d time.Duration, happen func()) {
+// schedule lets something happen.
+func (a *eventQueue) schedule(d time.Duration, happen func()) {
 	a.due = append(a.due, event{time.Now().Add(d), happen})
 }
 
-// happen lets happen what is due.
-func (a *agenda) happen() {
+// runDue lets runDue what is due.
+func (a *eventQueue) runDue() {
 	due := a.due
 	a.due = nil
 	for _, e := range due {
@@ -78,20 +78,20 @@
 			a.due = append(a.due, e)
 			continue
 		}
-		e.happen()
+		e.run()
 	}
 }
 
 // coldMember is one instance.
 type coldMember struct {
-	world   *coldWorld
-	address string
-	fleet   *Fleet
-	started time.Time
-	frozen  time.Time // until when
-	reaches int       // its side, as far as it has noticed
-	inHand  []string  // upstreams of leases that it held when it froze
-	heard   int64     // version of the list
+	world       *coldHarness
+	address     string
+	fleet       *Fleet
+	started     time.Time
+	frozen      time.Time // until when
+	knownSide   int       // its side, as far as it has noticed
+	unsent      []string  // upstreams of leases that it held when it froze
+	listVersion int64     // version of the list
 }
 
 func (m *coldMember) isFrozen() bool { return time.Now().Before(m.frozen) }
@@ -104,24 +104,24 @@
 	if other.isFrozen() || w.side[address] != w.side[m.address] {
 		return nil, nil, peer.ErrNoReply
 	}
-	turn, decided := other.fleet.shardAt(r.Service, r.Shard).pool.Submit(requestOf(time.Now(), r)).Decided()
+	turn, decided := other.fleet.shardAt(r.Service, r.Shard).pool.Submit(schedulerRequest(time.Now(), r)).Decided()
 	if !decided || turn.Grant == nil {
 		return nil, &peer.SlotRefusal{Reason: "full"}, nil
 	}
 	pool := other.fleet.shardAt(r.Service, r.Shard).pool
-	w.later(coldRuns, func() { pool.End(turn.Grant, scheduler.Completed, 9) })
+	w.schedule(coldRequestTime, func() { pool.End(turn.Grant, scheduler.Completed, 9) })
 	return &peer.Slot{Grant: peer.SlotGrant{Upstream: turn.Grant.Upstream.ID}}, nil, nil
 }
 
 // FleetSize implements Slots.
-func (m *coldMember) FleetSize() int { return coldFleet }
+func (m *coldMember) FleetSize() int { return coldInstances }
 
-func newColdWorld(seed uint64) *coldWorld {
-	w := &coldWorld{random: rand.New(rand.NewPCG(seed, 7)), side: map[string]int{}, cold: map[string]time.Time{}, arrived: map[string][]time.Time{}, version: 1}
-	for i := range coldServers {
+func newColdWorld(seed uint64) *coldHarness {
+	w := &coldHarness{random: rand.New(rand.NewPCG(seed, 7)), side: map[string]int{}, cold: map[string]time.Time{}, arrived: map[string][]time.Time{}, version: 1}
+	for i := range coldUpstreams {
 		w.list = append(w.list, view.Upstream{ID: fmt.Sprint("u-", i), Service: "s", Address: "127.0.0.1:1", Slots: 10})
 	}
-	for i := range coldFleet {
+	for i := range coldInstances {
 		m := &coldMember{world: w, address: fmt.Sprintf("10.0.0.%d:1", i)}
 		w.members = append(w.members, m)
 		w.start(m)
@@ -130,21 +130,21 @@
 }
 
 // start lets an instance start anew, knowing the list alone.
-func (w *coldWorld) start(m *coldMember) {
-	m.started, m.inHand, m.heard = time.Now(), nil, w.version
+func (w *coldHarness) start(m *coldMember) {
+	m.started, m.unsent, m.listVersion = time.Now(), nil, w.version
 	m.fleet = New(Options{
 		Instance: m.address, Limits: queue.Limits{MaxItems: 1}, ColdOverage: coldOverage, ColdSlack: coldSlack,
 		Metrics: telemetry.NewMetrics(), Log: telemetry.NewLogger(io.Discard, "error", "test"),
 	})
 	m.fleet.SetSlotClient(m)
-	m.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdPerSecond: coldBears}})
+	m.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldDuration, ColdPerSecond: coldRate}})
 	m.fleet.SetUpstreams(w.published())
-	m.reaches = w.side[m.address]
-	w.tell(m)
+	m.knownSide = w.side[m.address]
+	w.updateInstances(m)
 }
 
 // published is the list, with what its entries say of coldness.
-func (w *coldWorld) published() view.List {
+func (w *coldHarness) published() view.List {
 	list := view.List{Version: w.version, Upstreams: slices.Clone(w.list)}
 	for i, u := range list.Upstreams {
 		list.Upstreams[i].Cold = max(time.Until(w.cold[u.ID]), 0)
@@ -152,11 +152,11 @@
 	return list
 }
 
-// tell lets a member know whom it reaches.
-func (w *coldWorld) tell(m *coldMember) {
+// updateInstances lets a member know whom it reaches.
+func (w *coldHarness) updateInstances(m *coldMember) {
 	var all []Instance
 	for i, other := range w.members {
-		reached := other == m || w.side[other.address] == m.reaches
+		reached := other == m || w.side[other.address] == m.knownSide
 		settled := time.Since(other.started) >= 500*time.Millisecond
 		all = append(all, Instance{Address: other.address, Cores: 0.4 + 0.1*float64(i%3), Reachable: reached, MayOwn: reached, Settled: settled})
 	}
@@ -164,12 +164,12 @@
 }
 
 // disturb lets something happen now and then.
-func (w *coldWorld) disturb() {
+func (w *coldHarness) disturb() {
 	chance := func(perSecond float64) bool { return w.random.Float64() < perSecond*coldStep.Seconds() }
 	if chance(0.5) { // an upstream becomes cold, and its entry says so within a heartbeat
 		u := w.list[w.random.IntN(len(w.list))].ID
-		w.cold[u], w.arrived[u] = time.Now().Add(coldLasts), nil
-		w.later(time.Duration(w.random.IntN(1300))*time.Millisecond, func() { w.version++ })
+		w.cold[u], w.arrived[u] = time.Now().Add(coldDuration), nil
+		w.schedule(time.Duration(w.random.IntN(1300))*time.Millisecond, func() { w.version++ })
 	}
 	if chance(0.25) { // a cut, or its end
 		for i, m := range w.members {
@@ -177,16 +177,16 @@
 			if i%2 == 0 && w.random.IntN(2) == 0 {
 				w.side[m.address] = 1
 			}
-			w.later(time.Duration(200+w.random.IntN(1000))*time.Millisecond, func() { m.reaches = w.side[m.address] })
+			w.schedule(time.Duration(200+w.random.IntN(1000))*time.Millisecond, func() { m.knownSide = w.side[m.address] })
 		}
 	}
 	if m := w.members[w.random.IntN(len(w.members))]; chance(0.5) && !m.isFrozen() {
 		m.frozen = time.Now().Add(time.Duration(300+w.random.IntN(2000)) * time.Millisecond)
-		w.later(time.Until(m.frozen), func() {
-			for _, u := range m.inHand {
+		w.schedule(time.Until(m.frozen), func() {
+			for _, u := range m.unsent {
 				w.arrive(u)
 			}
-			m.inHand = nil
+			m.unsent = nil
 		})
 	}
 	if m := w.members[w.random.IntN(len(w.members))]; chance(0.5) && !m.isFrozen() {
@@ -195,27 +195,27 @@
 }
 
 // step lets callers come to each member, and news with them.
-func (w *coldWorld) step(t *testing.T) {
-	w.happen()
+func (w *coldHarness) step(t *testing.T) {
+	w.runDue()
 	w.disturb()
 	for _, m := range w.members {
 		if m.isFrozen() {
 			continue
 		}
-		if m.heard < w.version && w.random.IntN(20) == 0 {
-			m.heard = w.version
+		if m.listVersion < w.version && w.random.IntN(20) == 0 {
+			m.listVersion = w.version
 			m.fleet.SetUpstreams(w.published())
 		}
 		if w.random.IntN(20) == 0 {
-			w.tell(m)
+			w.updateInstances(m)
 		}
-		if w.random.Float64() < coldPressure*coldServers/coldFleet*coldStep.Seconds() {
+		if w.random.Float64() < coldDemand*coldUpstreams/coldInstances*coldStep.Seconds() {
 			w.request(t, m)
 		}
 	}
 }
 
-func (w *coldWorld) request(t *testing.T, m *coldMember) {
+func (w *coldHarness) request(t *testing.T, m *coldMember) {
 	now := time.Now()
 	l, problem := m.fleet.Acquire(t.Context(), &AcquireRequest{ID: "1", Service: "s", Request: &scheduler.Request{
 		Arrived: now, Deadline: now.Add(time.Minute), Patience: time.Nanosecond, LateIsWorth: true, Prompt: 100,
@@ -224,12 +224,12 @@
 		return
 	}
 	if l.Owner() == "" {
-		w.later(coldRuns, func() { l.End(scheduler.Completed, 9) })
+		w.schedule(coldRequestTime, func() { l.End(scheduler.Completed, 9) })
 	}
 	u := l.Upstream()
-	w.later(time.Duration(w.random.IntN(30))*time.Millisecond, func() {
+	w.schedule(time.Duration(w.random.IntN(30))*time.Millisecond, func() {
 		if m.isFrozen() {
-			m.inHand = append(m.inHand, u)
+			m.unsent = append(m.unsent, u)
 			return
 		}
 		w.arrive(u)
@@ -237,7 +237,7 @@
 }
 
 // arrive counts what a cold upstream gets in a second.
-func (w *coldWorld) arrive(u string) {
+func (w *coldHarness) arrive(u string) {
 	now := time.Now()
 	recent := slices.DeleteFunc(w.arrived[u], func(at time.Time) bool { return now.Sub(at) > time.Second })
 	w.arrived[u] = append(recent, now)
@@ -254,8 +254,8 @@
 // deployment whose engines get 7 a second on the average.
 func TestAColdUpstreamGetsNoMoreThanItBears(t *testing.T) {
 	worst := 0
-	for seed := range *coldPlays {
-		worst = max(worst, playCold(t, seed))
+	for seed := range *coldRunCount {
+		worst = max(worst, runCold(t, seed))
 	}
 	t.Log("worst second:", worst)
 }
@@ -264,22 +264,22 @@
 // was cut off and nobody had heard yet that the upstream had become cold. The three of them granted 21
 // requests in a second.
 func TestAColdUpstreamThatNobodyHasHeardOfBesideACutAndALostOwner(t *testing.T) {
-	playCold(t, 856)
+	runCold(t, 856)
 }
 
-// playCold plays one seed, and returns what a cold upstream got in its worst second.
-func playCold(t *testing.T, seed uint64) (worst int) {
+// runCold plays one seed, and returns what a cold upstream got in its worst second.
+func runCold(t *testing.T, seed uint64) (worst int) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newColdWorld(seed)
-		for end := time.Now().Add(coldLength); time.Now().Before(end); {
+		for end := time.Now().Add(coldRunLength); time.Now().Before(end); {
 			w.step(t)
 			<-time.After(coldStep)
 		}
 		synctest.Wait()
 		worst = w.worst
 	})
-	if worst > coldMost {
-		t.Errorf("seed %d: a cold upstream got %d requests in a second; it bears %v", seed, worst, coldMost)
+	if worst > maxColdPerSecond {
+		t.Errorf("seed %d: a cold upstream got %d requests in a second; it bears %v", seed, worst, maxColdPerSecond)
 	}
 	return worst
 }
@@ -290,23 +290,23 @@
 		is := is.New(t)
 		w := newColdWorld(1)
 		<-time.After(time.Second) // they have settled
-		w.cold["u-0"] = time.Now().Add(coldLasts)
+		w.cold["u-0"] = time.Now().Add(coldDuration)
 		w.version++
 		for _, m := range w.members {
-			w.tell(m)
+			w.updateInstances(m)
 			m.fleet.SetUpstreams(w.published())
 		}
 		for range 200 {
-			w.happen()
+			w.runDue()
 			for _, m := range w.members {
 				w.request(t, m)
 			}
 			<-time.After(coldStep)
 		}
 		synctest.Wait()
-		is.True(w.worst >= 0.7*coldBears)
-		is.True(w.worst <= coldBears)
-		is.True(len(w.arrived["u-1"]) > coldBears)
+		is.True(w.worst >= 0.7*coldRate)
+		is.True(w.worst <= coldRate)
+		is.True(len(w.arrived["u-1"]) > coldRate)
 	})
 }
 
@@ -346,8 +346,8 @@
 		is.True(!ok)
 		m.fleet.SetEvacuated(nil)
 		is.NoErr(m.fleet.CheckUsable(before.Upstream()))
-		is.Equal(m.fleet.ColdUpstreams(), coldServers)
-		<-time.After(coldLasts)
+		is.Equal(m.fleet.ColdUpstreams(), coldUpstreams)
+		<-time.After(coldDuration)
 		is.Equal(m.fleet.ColdUpstreams(), 0)
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -75,58 +75,58 @@
 	version     int64                     // of the list
 	instances   []Instance                // this one included, by address
 	evacuated   []string                  // availability zones
-	others      map[string]othersLoad     // what other instances have told, by address
-	// saidLeaving are processes that have said in an answer that they leave, and wordsTold counts those that
+	peerLoads   map[string]peerLoad       // what other instances have told, by address
+	// leavingNotices are processes that have said in an answer that they leave, and wordsTold counts those that
 	// peers were told of in turn.
-	saidLeaving map[string]word
-	wordsTold   int
-	slots       SlotClient // nil until there are peers
-
-	rests      *rest.Backoffs
-	limits     *ratelimit.Registry
-	owners     owners
-	leases     leases
-	countsLost atomic.Bool // some lost leases were counted last
+	leavingNotices map[string]leavingNotice
+	noticesSent    int
+	slots          SlotClient // nil until there are peers
+
+	backoffs    *rest.Backoffs
+	limits      *ratelimit.Registry
+	owners      owners
+	peerGrants  peerGrants
+	lostCounted atomic.Bool // some lost leases were counted last
 }
 
 // service is the upstreams of one service.
 type service struct {
-	name      string
-	upstreams int // on the list
-	repeats   *retrybudget.Budget
-	shards    []*shard // replaced as a whole
-	homes     []int    // the shards that this instance asks first
-	// shortUntil is until when it asks all of them.
-	shortUntil time.Time
-	coldStart  scheduler.ColdStart
+	name            string
+	upstreams       int // on the list
+	retryBudget     *retrybudget.Budget
+	shards          []*shard // replaced as a whole
+	preferredShards []int    // the shards that this instance asks first
+	// spreadUntil is until when it asks all of them.
+	spreadUntil time.Time
+	coldStart   scheduler.ColdStart
 }
 
 // shard is a part of a service's upstreams.
 type shard struct {
-	service string
-	index   int
-	pool    *pool.Pool
-	repeats *retrybudget.Budget // that its owner grants
+	service     string
+	index       int
+	pool        *pool.Pool
+	retryBudget *retrybudget.Budget // that its owner grants
 }
 
 // New returns a fleet without upstreams.
 func New(o Options) *Fleet {
 	return &Fleet{
-		o:           o,
-		services:    map[string]*service{},
-		upstreams:   map[string]*upstream{},
-		processes:   map[string]*upstream{},
-		connections: map[string]*exchange.Pool{},
-		others:      map[string]othersLoad{},
-		saidLeaving: map[string]word{},
-		rests:       rest.New(),
-		limits:      ratelimit.New(o.Log),
-		instances:   []Instance{{Address: o.Instance, Cores: o.Cores, Reachable: true, MayOwn: true, Settled: true}},
+		o:              o,
+		services:       map[string]*service{},
+		upstreams:      map[string]*upstream{},
+		processes:      map[string]*upstream{},
+		connections:    map[string]*exchange.Pool{},
+		peerLoads:      map[string]peerLoad{},
+		leavingNotices: map[string]leavingNotice{},
+		backoffs:       rest.New(),
+		limits:         ratelimit.New(o.Log),
+		instances:      []Instance{{Address: o.Instance, Cores: o.Cores, Reachable: true, MayOwn: true, Settled: true}},
 	}
 }
 
-// poll lets shards send what has room. It is called without the lock.
-func poll(shards []*shard) {
+// pollShards lets shards send what has room. It is called without the lock.
+func pollShards(shards []*shard) {
 	for _, s := range shards {
 		s.pool.Poll()
 	}
@@ -137,17 +137,17 @@
 func (f *Fleet) RetryBudget(service string) *retrybudget.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.serviceOf(service).repeats
+	return f.serviceOf(service).retryBudget
 }
 
 func (f *Fleet) serviceOf(name string) *service {
 	if s := f.services[name]; s != nil {
 		return s
 	}
-	s := &service{name: name, repeats: retrybudget.New(f.startingRepeats())}
+	s := &service{name: name, retryBudget: retrybudget.New(f.initialRetryBudget())}
 	f.services[name] = s
 	s.shards = []*shard{f.newShard(name, 0)}
-	s.homes = homesOf(f.o.Instance, name, 1)
+	s.preferredShards = preferredShardsOf(f.o.Instance, name, 1)
 	return s
 }
 
@@ -160,21 +160,21 @@
 		MinRetryAfter: minRetryAfter,
 	})
 	core.SetColdStart(f.services[service].coldStart, scheduler.Reach{})
-	return &shard{service: service, index: index, pool: pool.New(pool.Options{Core: core}), repeats: retrybudget.New(f.o.RetryBudget.PerOwner(index+1, 1))}
+	return &shard{service: service, index: index, pool: pool.New(pool.Options{Core: core}), retryBudget: retrybudget.New(f.o.RetryBudget.PerOwner(index+1, 1))}
 }
 
-// shareRepeats says which part of the bound on repeats each budget holds. The caller holds the lock.
-func (f *Fleet) shareRepeats(s *service) {
-	reached := float64(inReach(f.instances)) / float64(len(f.instances))
-	s.repeats.SetOptions(f.o.RetryBudget.PerInstance(len(f.instances)))
+// updateRetryBudgets says which part of the bound on repeats each budget holds. The caller holds the lock.
+func (f *Fleet) updateRetryBudgets(s *service) {
+	reached := float64(countReachable(f.instances)) / float64(len(f.instances))
+	s.retryBudget.SetOptions(f.o.RetryBudget.PerInstance(len(f.instances)))
 	for _, sh := range s.shards {
-		sh.repeats.SetOptions(f.o.RetryBudget.PerOwner(len(s.shards), reached))
+		sh.retryBudget.SetOptions(f.o.RetryBudget.PerOwner(len(s.shards), reached))
 	}
 }
 
-// startingRepeats is the budget of a service that is new here. It starts empty: the peers
+// initialRetryBudget is the budget of a service that is new here. It starts empty: the peers
 // that share the bound may not be known yet, and before a restart it may have been used.
-func (f *Fleet) startingRepeats() retrybudget.Options {
+func (f *Fleet) initialRetryBudget() retrybudget.Options {
 	o := f.o.RetryBudget.PerInstance(len(f.instances))
 	o.Initial = 0
 	return o
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -112,10 +112,10 @@
 		return owners[0]
 	}
 	first := owner()
-	f.owners.distrust(first, time.Now())
+	f.owners.markUnresponsive(first, time.Now())
 	second := owner()
 	is.True(second != first) // one that said nothing is passed over
-	f.owners.distrust(first, time.Now().Add(-distrustFor))
+	f.owners.markUnresponsive(first, time.Now().Add(-unresponsiveFor))
 	is.Equal(owner(), first) // for a while
 	for i := range all {
 		all[i].MayOwn = all[i].Address != first
@@ -153,9 +153,9 @@
 // one more takes its part of the others and moves nothing else.
 func TestLargeServicesHaveShards(t *testing.T) {
 	is := is.New(t)
-	is.Equal(shardsOf(0), 1)
-	is.Equal(shardsOf(shardSize), 1)
-	is.Equal(shardsOf(shardSize+1), 2)
+	is.Equal(shardCount(0), 1)
+	is.Equal(shardCount(shardSize), 1)
+	is.Equal(shardCount(shardSize+1), 2)
 	sizes := map[int]int{}
 	for i := range 3000 {
 		id := fmt.Sprint("i-", i)
@@ -178,36 +178,36 @@
 	is.True(!f.RetryBudget("s").Withdraw())
 }
 
-// keepers are the quotas of many instances that reach each other as reach says.
-type keepers struct {
+// quotaFleet are the quotas of many instances that reach each other as reach says.
+type quotaFleet struct {
 	quotas map[string]*Quotas
 	reach  func(from, to string) bool
 }
 
 // link is how one of them asks the others.
 type quotaLink struct {
-	k    *keepers
-	from string
+	fleet *quotaFleet
+	from  string
 }
 
 func (l quotaLink) TakeQuota(_ context.Context, address string, r *peer.QuotaRequest, _ time.Duration) (*peer.QuotaReply, error) {
-	if !l.k.reach(l.from, address) {
+	if !l.fleet.reach(l.from, address) {
 		return nil, peer.ErrNoReply
 	}
-	return l.k.quotas[address].ServeTake(r), nil
+	return l.fleet.quotas[address].ServeTake(r), nil
 }
 
-func (l quotaLink) FleetSize() int { return len(l.k.quotas) }
+func (l quotaLink) FleetSize() int { return len(l.fleet.quotas) }
 
 func (l quotaLink) ReturnQuota(address string, r *peer.QuotaReturn) {
-	l.k.quotas[address].ServeReturn(r)
+	l.fleet.quotas[address].ServeReturn(r)
 }
 
-// newKeepers returns the quotas of so many instances, which have settled if they are of
+// newQuotaFleet returns the quotas of so many instances, which have settled if they are of
 // any age. Each knows all
 // the others, and those that it doesn't reach as such.
-func newKeepers(n int, age time.Duration, reach func(from, to string) bool) *keepers {
-	k := &keepers{quotas: map[string]*Quotas{}, reach: reach}
+func newQuotaFleet(n int, age time.Duration, reach func(from, to string) bool) *quotaFleet {
+	k := &quotaFleet{quotas: map[string]*Quotas{}, reach: reach}
 	for _, self := range instances(n) {
 		known := instances(n)
 		for i := range known {
@@ -222,9 +222,9 @@
 	return k
 }
 
-// press asks for tokens at all instances in turn until each has been refused, and returns
+// takeAll asks for tokens at all instances in turn until each has been refused, and returns
 // what was granted.
-func (k *keepers) press(t *testing.T, size int) (granted int) {
+func (k *quotaFleet) takeAll(t *testing.T, size int) (granted int) {
 	o := &routing.Organisation{Name: "crews", TokensPerSecond: 1e-3, BurstTokens: 10_000}
 	for _, q := range k.quotas {
 		for {
@@ -242,15 +242,15 @@
 // a large request beside the others.
 func TestManyInstancesGrantOneQuotaTogether(t *testing.T) {
 	is := is.New(t)
-	all := newKeepers(87, time.Hour, func(string, string) bool { return true })
-	is.Equal(all.press(t, 7000), 7000) // a part of the burst is there at first, and one may run into debt
+	all := newQuotaFleet(87, time.Hour, func(string, string) bool { return true })
+	is.Equal(all.takeAll(t, 7000), 7000) // a part of the burst is there at first, and one may run into debt
 }
 
 func TestPartsOfAFleetThatAreCutApartKeepAQuotaTogether(t *testing.T) {
 	is := is.New(t)
 	side := func(address string) bool { return address < "10.0.0.4" }
-	all := newKeepers(60, time.Hour, func(from, to string) bool { return side(from) == side(to) })
-	granted := all.press(t, 10)
+	all := newQuotaFleet(60, time.Hour, func(from, to string) bool { return side(from) == side(to) })
+	granted := all.takeAll(t, 10)
 	is.True(granted >= 1500*95/100)
 	is.True(granted <= 1500*105/100)
 }
@@ -277,14 +277,14 @@
 // together hardly more than the rate since their start.
 func TestAFleetThatStartsGrantsNoBurst(t *testing.T) {
 	is := is.New(t)
-	all := newKeepers(20, 0, func(string, string) bool { return true })
-	is.Equal(all.press(t, 7000), 0) // and run into no debt
-	is.Equal(all.press(t, 1), 0)
+	all := newQuotaFleet(20, 0, func(string, string) bool { return true })
+	is.Equal(all.takeAll(t, 7000), 0) // and run into no debt
+	is.Equal(all.takeAll(t, 1), 0)
 }
 
 func TestTokensGoBackToWhomTheyAreOf(t *testing.T) {
 	is := is.New(t)
-	all := newKeepers(20, time.Hour, func(string, string) bool { return true })
+	all := newQuotaFleet(20, time.Hour, func(string, string) bool { return true })
 	o := &routing.Organisation{Name: "crews", TokensPerSecond: 1e-3, BurstTokens: 10_000}
 	q := all.quotas["10.0.0.3:1"]
 	taken, _ := q.Take(t.Context(), "1", o, 5000, 0)
@@ -326,8 +326,8 @@
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(1))
 	f.SetInstances([]Instance{{Address: "10.0.0.1:1", Reachable: true, MayOwn: true}})
-	lost := &peerLease{grant: peer.SlotGrant{Upstream: "i-7"}, slot: lostSlot{}, all: &f.leases}
-	f.leases.add(lost)
+	lost := &peerGrant{slotGrant: peer.SlotGrant{Upstream: "i-7"}, slot: lostSlot{}, tracked: &f.peerGrants}
+	f.peerGrants.add(lost)
 	running := func() (n int) {
 		f.shardAt("s", 0).pool.View(func(core *scheduler.Core) {
 			for _, u := range core.Upstreams() {
--- a/internal/fleet/homes.go
+++ b/internal/fleet/homes.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// homeShards is how many shards of a service an instance asks while they have room. It meets the owners
+	// preferredShardCount is how many shards of a service an instance asks while they have room. It meets the owners
 	// of these again and again, over links that are up, however many shards there are. Two, since shards
 	// get unlike numbers of instances and one alone would show it.
-	homeShards = 2
-	// shortFor is how long an instance asks all shards after one of its own had no room at once.
-	shortFor = time.Second
+	preferredShardCount = 2
+	// spreadFor is how long an instance asks all shards after one of its own had no room at once.
+	spreadFor = time.Second
 )
 
-// homesOf returns the shards, of so many, that an instance asks first: a draw that is the same each time, so
+// preferredShardsOf returns the shards, of so many, that an instance asks first: a draw that is the same each time, so
 // that a shard more takes the place of few.
-func homesOf(instance, service string, shards int) []int {
+func preferredShardsOf(instance, service string, shards int) []int {
 	drawn := xxhash.Sum64String(instance + "\x00" + service)
 	all := make([]int, shards)
 	for i := range all {
@@ -31,21 +31,21 @@
 		}
 		return 1
 	})
-	return all[:min(homeShards, shards)]
+	return all[:min(preferredShardCount, shards)]
 }
 
-// drawShard returns the shard to be asked for a slot: one of the instance's own, or any while these are short of
+// selectShard returns the shard to be asked for a slot: one of the instance's own, or any while these are short of
 // room. The caller holds the lock.
-func (s *service) drawShard(now time.Time) *shard {
-	if now.Before(s.shortUntil) {
+func (s *service) selectShard(now time.Time) *shard {
+	if now.Before(s.spreadUntil) {
 		return s.shards[rand.IntN(len(s.shards))]
 	}
-	return s.shards[s.homes[rand.IntN(len(s.homes))]]
+	return s.shards[s.preferredShards[rand.IntN(len(s.preferredShards))]]
 }
 
-// noteShort notes that a shard of a service had no room at once.
-func (f *Fleet) noteShort(service string) {
+// spreadRequests notes that a shard of a service had no room at once.
+func (f *Fleet) spreadRequests(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.serviceOf(service).shortUntil = time.Now().Add(shortFor)
+	f.serviceOf(service).spreadUntil = time.Now().Add(spreadFor)
 }
--- a/internal/fleet/homes_test.go
+++ b/internal/fleet/homes_test.go
@@ -17,13 +17,13 @@
 	for _, upstreams := range []int{60, 3_000, 6_000} {
 		t.Run(fmt.Sprint(upstreams), func(t *testing.T) {
 			is := is.New(t)
-			s := newSized(upstreams, 0)
-			is.Equal(len(s.fleet.all()), shardsOf(upstreams))
+			s := newSizedFleet(upstreams, 0)
+			is.Equal(len(s.fleet.all()), shardCount(upstreams))
 			asked := map[*shard]bool{}
 			for range 200 {
-				asked[s.fleet.services["s"].drawShard(time.Now())] = true
+				asked[s.fleet.services["s"].selectShard(time.Now())] = true
 			}
-			is.Equal(len(asked), min(homeShards, shardsOf(upstreams)))
+			is.Equal(len(asked), min(preferredShardCount, shardCount(upstreams)))
 		})
 	}
 }
@@ -36,7 +36,7 @@
 	moved := 0
 	for i := range instances {
 		address := fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
-		before, after := homesOf(address, "s", shards), homesOf(address, "s", shards+1)
+		before, after := preferredShardsOf(address, "s", shards), preferredShardsOf(address, "s", shards+1)
 		for _, home := range before {
 			asked[home]++
 		}
@@ -44,18 +44,18 @@
 			moved++
 		}
 	}
-	mean := instances * homeShards / shards
+	mean := instances * preferredShardCount / shards
 	for _, n := range asked {
 		is.True(n > mean*6/10 && n < mean*14/10)
 	}
-	is.True(moved < 3*homeShards*instances/(shards+1)/2)
+	is.True(moved < 3*preferredShardCount*instances/(shards+1)/2)
 }
 
 // While the shards that an instance asks first have no room, it asks all.
 func TestAnInstanceWhoseShardsAreFullAsksAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSized(3_000, 0)
+		s := newSizedFleet(3_000, 0)
 		served, refused := map[string]int{}, 0
 		for range 3_000 * 8 {
 			w := generation()
@@ -70,11 +70,11 @@
 		}
 		is.True(len(served) > 2_900) // far more than two shards have
 		is.True(refused < 3_000*8/2)
-		<-time.After(shortFor)
+		<-time.After(spreadFor)
 		asked := map[*shard]bool{}
 		for range 200 {
-			asked[s.fleet.services["s"].drawShard(time.Now())] = true
+			asked[s.fleet.services["s"].selectShard(time.Now())] = true
 		}
-		is.Equal(len(asked), homeShards) // again
+		is.Equal(len(asked), preferredShardCount) // again
 	})
 }
--- a/internal/fleet/instances.go
+++ b/internal/fleet/instances.go
@@ -28,15 +28,15 @@
 func (f *Fleet) SetInstances(instances []Instance) {
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.Address, b.Address) })
 	if f.setInstances(instances) {
-		f.testAvoided()
+		f.probeOpenCircuits()
 	}
-	f.limitStarts()
+	f.updateGrantLimits()
 }
 
-// testAvoided lets upstreams that are avoided be tested now. An instance that was cut off
+// probeOpenCircuits lets upstreams that are avoided be tested now. An instance that was cut off
 // believes that those on the other side fail; it may own their shard again as soon as it is
 // back, and would refuse all requests to them for as long as it avoids them.
-func (f *Fleet) testAvoided() {
+func (f *Fleet) probeOpenCircuits() {
 	f.o.Log.Info().Str("event", "avoided_tested").Int("instances_in_reach", f.ReachableInstances()).Msg("")
 	for _, s := range f.all() {
 		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.TestAvoided(now) })
@@ -50,16 +50,16 @@
 	if slices.Equal(instances, f.instances) {
 		return false
 	}
-	reached = inReach(instances) > inReach(f.instances)
+	reached = countReachable(instances) > countReachable(f.instances)
 	f.instances = instances
 	for _, s := range f.services {
-		f.shareRepeats(s)
+		f.updateRetryBudgets(s)
 	}
-	f.owners.forget()
+	f.owners.invalidate()
 	return reached
 }
 
-func inReach(instances []Instance) (n int) {
+func countReachable(instances []Instance) (n int) {
 	for _, i := range instances {
 		if i.Reachable {
 			n++
@@ -81,11 +81,11 @@
 	return n
 }
 
-// partInReach is the part of the known instances that are within reach, this one included.
-func (f *Fleet) partInReach() float64 {
+// reachableShare is the part of the known instances that are within reach, this one included.
+func (f *Fleet) reachableShare() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return float64(inReach(f.instances)) / float64(len(f.instances))
+	return float64(countReachable(f.instances)) / float64(len(f.instances))
 }
 
 // Settled tells whether this instance has run long enough to know the others.
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -27,10 +27,10 @@
 	ErrEvacuated = fmt.Errorf("%w: its availability zone is evacuated", ErrNotUsable)
 )
 
-// whyUnusable tells why an upstream of the list gets nothing new, nil where it does. The caller
+// unusableReason tells why an upstream of the list gets nothing new, nil where it does. The caller
 // holds the lock.
-func (f *Fleet) whyUnusable(u view.Upstream) error {
-	_, said := f.saidLeaving[processName(u.ID, u.Born)]
+func (f *Fleet) unusableReason(u view.Upstream) error {
+	_, said := f.leavingNotices[processName(u.ID, u.Born)]
 	switch {
 	case u.Leaving, said:
 		return ErrLeaving
@@ -50,7 +50,7 @@
 	switch {
 	case u == nil:
 		return ErrNotListed
-	case u.unusable == nil && f.rests.Check(time.Now(), id) != nil:
+	case u.unusable == nil && f.backoffs.Check(time.Now(), id) != nil:
 		return ErrBackingOff
 	default:
 		return u.unusable
@@ -83,78 +83,78 @@
 	End(e scheduler.Ending, output int)
 }
 
-// ownLease is granted by this instance.
-type ownLease struct {
+// localGrant is granted by this instance.
+type localGrant struct {
 	shard       *shard
 	grant       *scheduler.Grant
 	listVersion int64
 }
 
-func (l *ownLease) Upstream() string                   { return l.grant.Upstream.ID }
-func (l *ownLease) Owner() string                      { return "" }
-func (l *ownLease) ListVersion() int64                 { return l.listVersion }
-func (l *ownLease) Limited() bool                      { return l.grant.Limited }
-func (l *ownLease) Predicted() time.Duration           { return l.grant.Predicted() }
-func (l *ownLease) FirstToken()                        { l.shard.pool.FirstToken(l.grant) }
-func (l *ownLease) RecordActivity()                    { l.grant.Upstream.Heard(time.Now()) }
-func (l *ownLease) End(e scheduler.Ending, output int) { l.shard.pool.End(l.grant, e, output) }
-
-// heldSlot is a slot that a peer granted. *peer.Slot implements it.
-type heldSlot interface {
+func (l *localGrant) Upstream() string                   { return l.grant.Upstream.ID }
+func (l *localGrant) Owner() string                      { return "" }
+func (l *localGrant) ListVersion() int64                 { return l.listVersion }
+func (l *localGrant) Limited() bool                      { return l.grant.Limited }
+func (l *localGrant) Predicted() time.Duration           { return l.grant.Predicted() }
+func (l *localGrant) FirstToken()                        { l.shard.pool.FirstToken(l.grant) }
+func (l *localGrant) RecordActivity()                    { l.grant.Upstream.Heard(time.Now()) }
+func (l *localGrant) End(e scheduler.Ending, output int) { l.shard.pool.End(l.grant, e, output) }
+
+// grantedSlot is a slot that a peer granted. *peer.Slot implements it.
+type grantedSlot interface {
 	Started()
 	Release(r peer.SlotRelease)
 	// Lost tells whether the peer no longer counts the slot.
 	Lost() bool
 }
 
-// peerLease is granted by the owner of a shard.
-type peerLease struct {
-	owner string
-	grant peer.SlotGrant
-	slot  heldSlot
-	all   *leases
+// peerGrant is granted by the owner of a shard.
+type peerGrant struct {
+	owner     string
+	slotGrant peer.SlotGrant
+	slot      grantedSlot
+	tracked   *peerGrants
 }
 
-func (l *peerLease) Upstream() string         { return l.grant.Upstream }
-func (l *peerLease) Owner() string            { return l.owner }
-func (l *peerLease) ListVersion() int64       { return l.grant.ListVersion }
-func (l *peerLease) Limited() bool            { return l.grant.Limited }
-func (l *peerLease) Predicted() time.Duration { return l.grant.Predicted }
-func (l *peerLease) FirstToken()              { l.slot.Started() }
-func (l *peerLease) RecordActivity()          {} // the owner hears of first tokens and endings
-func (l *peerLease) End(e scheduler.Ending, output int) {
-	l.all.remove(l)
+func (l *peerGrant) Upstream() string         { return l.slotGrant.Upstream }
+func (l *peerGrant) Owner() string            { return l.owner }
+func (l *peerGrant) ListVersion() int64       { return l.slotGrant.ListVersion }
+func (l *peerGrant) Limited() bool            { return l.slotGrant.Limited }
+func (l *peerGrant) Predicted() time.Duration { return l.slotGrant.Predicted }
+func (l *peerGrant) FirstToken()              { l.slot.Started() }
+func (l *peerGrant) RecordActivity()          {} // the owner hears of first tokens and endings
+func (l *peerGrant) End(e scheduler.Ending, output int) {
+	l.tracked.remove(l)
 	l.slot.Release(peer.SlotRelease{Ending: uint8(e), Output: output})
 }
 
-// leases are those that owners granted to this instance. Safe for concurrent use.
-type leases struct {
-	mu   sync.Mutex
-	held map[*peerLease]struct{}
+// peerGrants are those that owners granted to this instance. Safe for concurrent use.
+type peerGrants struct {
+	mu     sync.Mutex
+	grants map[*peerGrant]struct{}
 }
 
-func (a *leases) add(l *peerLease) {
+func (a *peerGrants) add(l *peerGrant) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.held == nil {
-		a.held = map[*peerLease]struct{}{}
+	if a.grants == nil {
+		a.grants = map[*peerGrant]struct{}{}
 	}
-	a.held[l] = struct{}{}
+	a.grants[l] = struct{}{}
 }
 
-func (a *leases) remove(l *peerLease) {
+func (a *peerGrants) remove(l *peerGrant) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.held, l)
+	delete(a.grants, l)
 }
 
 // lost counts, by upstream, what runs here by grants that no owner counts any more: its
 // link ended. Whoever owns the shard now learns of them from heartbeats.
-func (a *leases) lost() map[string]int {
+func (a *peerGrants) lost() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]int{}
-	for l := range a.held {
+	for l := range a.grants {
 		if l.slot.Lost() {
 			out[l.Upstream()]++
 		}
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -11,8 +11,8 @@
 // that limit, with every attempt that it grants. Whoever may own the shard next hears of it from peers, and from
 // each instance that asks for a slot.
 
-// mostLimits bounds the limits that an owner is told with one request.
-const mostLimits = 32
+// maxLimitsPerRequest bounds the limits that an owner is told with one request.
+const maxLimitsPerRequest = 32
 
 // ObserveLimit takes what an upstream of the list says, in the answer to an attempt that was sent at a time, of the
 // requests a second that it takes. It returns whether that is news for peers.
@@ -30,7 +30,7 @@
 	if len(told) == 0 {
 		return false
 	}
-	changed := f.limits.Merge(time.Now(), "peer "+peer, f.listed(told, func(*upstream) bool { return true }))
+	changed := f.limits.Merge(time.Now(), "peer "+peer, f.filterListed(told, func(*upstream) bool { return true }))
 	if len(changed) == 0 {
 		return false
 	}
@@ -57,37 +57,37 @@
 // LimitedUpstreams returns how many upstreams are known to have named a limit.
 func (f *Fleet) LimitedUpstreams() int { return f.limits.Count() }
 
-// limitOf is the limit of a process as its scheduler takes it.
-func (f *Fleet) limitOf(process string) balancer.NamedLimit {
+// advertisedLimit is the limit of a process as its scheduler takes it.
+func (f *Fleet) advertisedLimit(process string) balancer.NamedLimit {
 	perSecond, limited := f.limits.Limit(process)
 	return balancer.NamedLimit{Set: limited, PerSecond: perSecond}
 }
 
-// limitsToTell returns the limits of a service's upstreams, for the owner of one of its shards.
-func (f *Fleet) limitsToTell(service string) []ratelimit.Update {
+// limitsForOwner returns the limits of a service's upstreams, for the owner of one of its shards.
+func (f *Fleet) limitsForOwner(service string) []ratelimit.Update {
 	if f.limits.Count() == 0 {
 		return nil
 	}
-	told := f.listed(f.limits.All(time.Now()), func(u *upstream) bool { return u.Service == service })
-	return told[:min(len(told), mostLimits)]
+	told := f.filterListed(f.limits.All(time.Now()), func(u *upstream) bool { return u.Service == service })
+	return told[:min(len(told), maxLimitsPerRequest)]
 }
 
 // applyLimits lets the schedulers know of limits that have changed.
 func (f *Fleet) applyLimits(processes ...string) {
 	f.mu.Lock()
-	updated := updates{}
+	updated := memberUpdates{}
 	for _, process := range processes {
 		if u := f.processes[process]; u != nil {
-			f.refresh(u, updated)
+			f.refreshUsability(u, updated)
 		}
 	}
 	updated.apply()
 	f.mu.Unlock()
-	f.limitStarts()
+	f.updateGrantLimits()
 }
 
-// listed returns those of some limits whose processes are on the list, and are wanted.
-func (f *Fleet) listed(told []ratelimit.Update, wanted func(*upstream) bool) (out []ratelimit.Update) {
+// filterListed returns those of some limits whose processes are on the list, and are wanted.
+func (f *Fleet) filterListed(told []ratelimit.Update, wanted func(*upstream) bool) (out []ratelimit.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range told {
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -8,8 +8,8 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// othersLoad is what another instance has told of its load, and the shards that know it.
-type othersLoad struct {
+// peerLoad is what another instance has told of its load, and the shards that know it.
+type peerLoad struct {
 	scheduler.Load
 	shards map[*shard]bool
 }
@@ -18,25 +18,25 @@
 // the instance. Only the shards that it concerns, now or by what was told before, look at it.
 func (f *Fleet) SetPeerLoad(instance string, l scheduler.Load) {
 	f.mu.Lock()
-	concerned := f.others[instance].shards
+	concerned := f.peerLoads[instance].shards
 	now := f.shardsWith(l)
 	if len(now) > 0 {
-		f.others[instance] = othersLoad{Load: l, shards: now}
+		f.peerLoads[instance] = peerLoad{Load: l, shards: now}
 	} else {
-		delete(f.others, instance)
+		delete(f.peerLoads, instance)
 	}
 	f.mu.Unlock()
 	for s := range now {
-		s.setOthers(instance, l)
+		s.setPeerLoad(instance, l)
 	}
 	for s := range concerned {
 		if !now[s] {
-			s.setOthers(instance, scheduler.Load{})
+			s.setPeerLoad(instance, scheduler.Load{})
 		}
 	}
 }
 
-func (s *shard) setOthers(instance string, l scheduler.Load) {
+func (s *shard) setPeerLoad(instance string, l scheduler.Load) {
 	s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 		core.SetOthers(instance, l)
 		return core.Poll(now)
@@ -56,10 +56,10 @@
 	return out
 }
 
-// reapplyOthers tells shards what other instances have told, after upstreams were assigned to them anew.
-func (f *Fleet) reapplyOthers() {
+// reapplyPeerLoads tells shards what other instances have told, after upstreams were assigned to them anew.
+func (f *Fleet) reapplyPeerLoads() {
 	f.mu.Lock()
-	others := maps.Clone(f.others)
+	others := maps.Clone(f.peerLoads)
 	f.mu.Unlock()
 	for instance, l := range others {
 		f.SetPeerLoad(instance, l.Load)
@@ -69,7 +69,7 @@
 // Load returns the load at all upstreams that have any of what this instance has
 // granted, and of what it runs by grants of instances that are gone.
 func (f *Fleet) Load() scheduler.Load {
-	total := scheduler.Load{Pending: map[string]int{}, Running: f.leases.lost()}
+	total := scheduler.Load{Pending: map[string]int{}, Running: f.peerGrants.lost()}
 	for _, s := range f.all() {
 		s.pool.View(func(core *scheduler.Core) {
 			if core.Running() == 0 {
@@ -85,16 +85,16 @@
 	return total
 }
 
-// ownLost names this instance's own load beside that of the others, see CountLost.
-const ownLost = "lost here"
+// lostGrantsKey names this instance's own load beside that of the others, see CountLost.
+const lostGrantsKey = "lost here"
 
 // CountLostGrants counts, in this instance's own shards, what it runs by grants of owners that are
 // gone: nobody else counts that where it owns the shard now.
 func (f *Fleet) CountLostGrants() {
-	lost := f.leases.lost()
+	lost := f.peerGrants.lost()
 	some := len(lost) > 0
-	if before := f.countsLost.Swap(some); some || before {
-		f.SetPeerLoad(ownLost, scheduler.Load{Running: lost})
+	if before := f.lostCounted.Swap(some); some || before {
+		f.SetPeerLoad(lostGrantsKey, scheduler.Load{Running: lost})
 	}
 }
 
@@ -104,11 +104,11 @@
 // those are, and take slots for taken that have become free.
 func (f *Fleet) UninformedOwners() []string {
 	f.mu.Lock()
-	lost := f.shardsWith(scheduler.Load{Running: f.leases.lost()})
+	lost := f.shardsWith(scheduler.Load{Running: f.peerGrants.lost()})
 	f.mu.Unlock()
 	var out []string
 	for _, s := range f.all() {
-		if !lost[s] && !s.runsAny() {
+		if !lost[s] && !s.hasRunning() {
 			continue
 		}
 		owners := f.ownersOf(shardKey{service: s.service, index: s.index})
@@ -119,8 +119,8 @@
 	return out
 }
 
-// runsAny tells whether any request runs in the shard by this instance's own grants.
-func (s *shard) runsAny() (runs bool) {
+// hasRunning tells whether any request runs in the shard by this instance's own grants.
+func (s *shard) hasRunning() (runs bool) {
 	s.pool.View(func(core *scheduler.Core) { runs = core.Running() > 0 })
 	return runs
 }
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -19,11 +19,11 @@
 	// maxOwners is how many instances are asked for a slot in turn, before this one
 	// decides by itself.
 	maxOwners = 2
-	// ackWithin is how long an owner may take to say that it has a request. Its
+	// ackTimeout is how long an owner may take to say that it has a request. Its
 	// processor may be held back for a tenth of a second.
-	ackWithin = 150 * time.Millisecond
-	// distrustFor is how long an owner that said nothing isn't asked again.
-	distrustFor = time.Second
+	ackTimeout = 150 * time.Millisecond
+	// unresponsiveFor is how long an owner that said nothing isn't asked again.
+	unresponsiveFor = time.Second
 	// coresExponent makes large instances own more than their part: one with twice the
 	// processor time sixteen times as often. On loaded days an owner spent 0.06 cores
 	// where others spent 0.02, and the smallest instances have 0.19.
@@ -37,47 +37,47 @@
 // while views differ, a shard has two owners, and its upstreams get more than they have
 // slots for, which they queue. Safe for concurrent use.
 type owners struct {
-	mu      sync.Mutex
-	ranked  map[shardKey][]string // addresses, the owner first
-	silent  map[string]time.Time  // when they were found to be
-	ownerOf map[shardKey]string   // as logged last
+	mu           sync.Mutex
+	ranked       map[shardKey][]string // addresses, the owner first
+	unresponsive map[string]time.Time  // when they were found to be
+	lastOwner    map[shardKey]string   // as logged last
 }
 
 // shardKey names a shard, or a bucket of tokens.
 type shardKey struct {
 	service string
 	index   int
-	// settled: only instances that have settled may own it.
-	settled bool
+	// settledOnly: only instances that have settledOnly may own it.
+	settledOnly bool
 }
 
-// forget drops the ranking after a change of instances.
-func (o *owners) forget() {
+// invalidate drops the ranking after a change of instances.
+func (o *owners) invalidate() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ranked = nil
 }
 
-// distrust notes that an instance said nothing when it was asked.
-func (o *owners) distrust(address string, now time.Time) {
+// markUnresponsive notes that an instance said nothing when it was asked.
+func (o *owners) markUnresponsive(address string, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.silent == nil {
-		o.silent = map[string]time.Time{}
+	if o.unresponsive == nil {
+		o.unresponsive = map[string]time.Time{}
 	}
-	o.silent[address] = now
+	o.unresponsive[address] = now
 }
 
-// first tells whether an instance is one of the first that others ask for a slot of a shard.
-func (o *owners) first(k shardKey, instances []Instance, address string) bool {
+// isCandidate tells whether an instance is one of the isCandidate that others ask for a slot of a shard.
+func (o *owners) isCandidate(k shardKey, instances []Instance, address string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ranked := o.rankOf(k, instances)
+	ranked := o.ranking(k, instances)
 	return slices.Contains(ranked[:min(maxOwners, len(ranked))], address)
 }
 
-// rankOf returns the instances that may own a shard, in order. The caller holds the lock.
-func (o *owners) rankOf(k shardKey, instances []Instance) []string {
+// ranking returns the instances that may own a shard, in order. The caller holds the lock.
+func (o *owners) ranking(k shardKey, instances []Instance) []string {
 	ranked, known := o.ranked[k]
 	if !known {
 		ranked = rank(k, instances)
@@ -89,14 +89,14 @@
 	return ranked
 }
 
-// of returns the instances to ask for a slot of a shard, in order.
-func (o *owners) of(k shardKey, instances []Instance, now time.Time) []string {
+// candidates returns the instances to ask for a slot candidates a shard, in order.
+func (o *owners) candidates(k shardKey, instances []Instance, now time.Time) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for _, address := range o.rankOf(k, instances) {
-		since, silent := o.silent[address]
-		if silent && now.Sub(since) < distrustFor {
+	for _, address := range o.ranking(k, instances) {
+		since, silent := o.unresponsive[address]
+		if silent && now.Sub(since) < unresponsiveFor {
 			continue
 		}
 		if out = append(out, address); len(out) == maxOwners {
@@ -106,17 +106,17 @@
 	return out
 }
 
-// changed tells whether the owner of a shard isn't the one that it was.
-func (o *owners) changed(k shardKey, owner string) bool {
+// recordOwner tells whether the owner of a shard isn't the one that it was.
+func (o *owners) recordOwner(k shardKey, owner string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.ownerOf[k] == owner {
+	if o.lastOwner[k] == owner {
 		return false
 	}
-	if o.ownerOf == nil {
-		o.ownerOf = map[shardKey]string{}
+	if o.lastOwner == nil {
+		o.lastOwner = map[shardKey]string{}
 	}
-	o.ownerOf[k] = owner
+	o.lastOwner[k] = owner
 	return true
 }
 
@@ -129,7 +129,7 @@
 	}
 	var list []scored
 	for _, i := range instances {
-		if !i.MayOwn || (k.settled && !i.Settled) {
+		if !i.MayOwn || (k.settledOnly && !i.Settled) {
 			continue
 		}
 		draw := uniform(k.service + "\x00" + strconv.Itoa(k.index) + "\x00" + i.Address)
@@ -151,8 +151,8 @@
 	return (float64(xxhash.Sum64String(text)>>(64-bits)) + 0.5) / (1 << bits)
 }
 
-// shardsOf is the number of shards of so many upstreams.
-func shardsOf(upstreams int) int { return max((upstreams+shardSize-1)/shardSize, 1) }
+// shardCount is the number of shards of so many upstreams.
+func shardCount(upstreams int) int { return max((upstreams+shardSize-1)/shardSize, 1) }
 
 // shardFor returns the shard of an upstream, by rendezvous hashing: one shard more takes
 // its part of the others and moves nothing else.
--- a/internal/fleet/ownword.go
+++ b/internal/fleet/ownword.go
@@ -13,57 +13,57 @@
 // source is away its answers are the only word. It holds for the process that said it, whatever is
 // published of that process then, since what is published may have been written before.
 
-// wordKept is how long the word is kept of a process that isn't on the list any more: its entry may come
+// processStateTTL is how long the word is kept of a process that isn't on the list any more: its entry may come
 // back, around an outage.
-const wordKept = time.Minute
+const processStateTTL = time.Minute
 
 const (
-	// newFor is how long each message to peers repeats a word that is new; others are told in turn.
-	newFor = 2 * time.Second
-	// mostNew and inTurn bound the words that one message tells.
-	mostNew = 128
-	inTurn  = 8
+	// recentFor is how long each message to peers repeats a word that is new; others are told in turn.
+	recentFor = 2 * time.Second
+	// maxRecent and inTurn bound the words that one message tells.
+	maxRecent       = 128
+	olderPerMessage = 8
 )
 
-// word is what a process has said of its leaving.
-type word struct {
-	heard time.Time
-	last  time.Time // when it was on the list last
+// leavingNotice is what a process has said of its leaving.
+type leavingNotice struct {
+	received   time.Time
+	lastListed time.Time // when it was on the list last
 }
 
 // RecordLeavingNotice takes the word of an upstream of the list, in an answer, that it leaves. It returns whether
 // that is news for peers.
 func (f *Fleet) RecordLeavingNotice(id string) bool {
 	process := f.ProcessOf(id)
-	return process != "" && f.learnLeaving("its own word", process)
+	return process != "" && f.addLeavingNotice("its own word", process)
 }
 
 // MergeLeavingNotices takes what a peer tells of processes that have said that they leave.
 func (f *Fleet) MergeLeavingNotices(peer string, processes []string) (news bool) {
 	for _, process := range processes {
-		news = f.learnLeaving("peer "+peer, process) || news
+		news = f.addLeavingNotice("peer "+peer, process) || news
 	}
 	return news
 }
 
-// learnLeaving sends nothing more to a process of the list.
-func (f *Fleet) learnLeaving(from, process string) bool {
+// addLeavingNotice sends nothing more to a process of the list.
+func (f *Fleet) addLeavingNotice(from, process string) bool {
 	f.mu.Lock()
-	_, known := f.saidLeaving[process]
+	_, known := f.leavingNotices[process]
 	u := f.processes[process]
 	if known || u == nil {
 		f.mu.Unlock()
 		return false
 	}
 	now := time.Now()
-	f.saidLeaving[process] = word{heard: now, last: now}
-	updated := updates{}
-	f.refresh(u, updated)
+	f.leavingNotices[process] = leavingNotice{received: now, lastListed: now}
+	updated := memberUpdates{}
+	f.refreshUsability(u, updated)
 	shards := updated.apply()
 	version := f.version
 	f.mu.Unlock()
 	f.o.Log.Info().Str("event", "upstream_says_leaving").Str("process", process).Str("from", from).Int64("list", version).Msg("")
-	poll(shards)
+	pollShards(shards)
 	return true
 }
 
@@ -72,7 +72,7 @@
 func (f *Fleet) AllLeavingNotices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Sorted(maps.Keys(f.saidLeaving))
+	return slices.Sorted(maps.Keys(f.leavingNotices))
 }
 
 // NextLeavingNotices returns the processes of which peers are to be told now that they have said that they leave: what is
@@ -82,31 +82,31 @@
 	defer f.mu.Unlock()
 	now := time.Now()
 	var fresh, rest []string
-	for process, w := range f.saidLeaving {
-		if now.Sub(w.heard) < newFor {
+	for process, w := range f.leavingNotices {
+		if now.Sub(w.received) < recentFor {
 			fresh = append(fresh, process)
 		} else {
 			rest = append(rest, process)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b string) int {
-		return cmp.Or(f.saidLeaving[b].heard.Compare(f.saidLeaving[a].heard), cmp.Compare(a, b))
+		return cmp.Or(f.leavingNotices[b].received.Compare(f.leavingNotices[a].received), cmp.Compare(a, b))
 	})
 	slices.Sort(rest)
-	return gossip.Select(fresh, rest, mostNew, inTurn, &f.wordsTold)
+	return gossip.Select(fresh, rest, maxRecent, olderPerMessage, &f.noticesSent)
 }
 
-// forgetWords drops the word of processes that have been off the list for long. The caller holds the lock.
-func (f *Fleet) forgetWords(now time.Time) {
-	for process, w := range f.saidLeaving {
+// pruneProcessState drops the word of processes that have been off the list for long. The caller holds the lock.
+func (f *Fleet) pruneProcessState(now time.Time) {
+	for process, w := range f.leavingNotices {
 		switch {
 		case f.processes[process] != nil:
-			w.last = now
-			f.saidLeaving[process] = w
-		case now.Sub(w.last) > wordKept:
-			delete(f.saidLeaving, process)
+			w.lastListed = now
+			f.leavingNotices[process] = w
+		case now.Sub(w.lastListed) > processStateTTL:
+			delete(f.leavingNotices, process)
 		}
 	}
-	f.rests.Prune(now.Add(-wordKept))
-	f.limits.Prune(now, wordKept, func(process string) bool { return f.processes[process] != nil })
+	f.backoffs.Prune(now.Add(-processStateTTL))
+	f.limits.Prune(now, processStateTTL, func(process string) bool { return f.processes[process] != nil })
 }
--- a/internal/fleet/ownword_test.go
+++ b/internal/fleet/ownword_test.go
@@ -31,13 +31,13 @@
 		is.True(errors.Is(f.CheckUsable("a"), ErrLeaving))
 		is.NoErr(f.CheckUsable("b"))
 		list(3, b)
-		<-time.After(wordKept) // virtual time
+		<-time.After(processStateTTL) // virtual time
 		list(4, a, b)
 		is.True(errors.Is(f.CheckUsable("a"), ErrLeaving)) // its entry is back, around an outage
 		a.Born = 2
 		list(5, a, b)
 		is.NoErr(f.CheckUsable("a"))
-		<-time.After(wordKept + time.Second)
+		<-time.After(processStateTTL + time.Second)
 		list(6, a, b)
 		is.Equal(len(f.NextLeavingNotices()), 0) // nothing is kept for ever
 	})
@@ -59,18 +59,18 @@
 func TestPeersHearOfAllThatLeaveAFewAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSized(300, 0)
+		s := newSizedFleet(300, 0)
 		for _, u := range s.list[:200] {
 			is.True(s.fleet.RecordLeavingNotice(u.ID))
 		}
-		is.Equal(len(s.fleet.NextLeavingNotices()), mostNew)
+		is.Equal(len(s.fleet.NextLeavingNotices()), maxRecent)
 		is.Equal(len(s.fleet.AllLeavingNotices()), 200)
-		<-time.After(newFor)
+		<-time.After(recentFor)
 		is.True(s.fleet.RecordLeavingNotice(s.list[250].ID))
 		heard := map[string]bool{}
-		for range 200/inTurn + 1 {
+		for range 200/olderPerMessage + 1 {
 			told := s.fleet.NextLeavingNotices()
-			is.Equal(len(told), inTurn+1)
+			is.Equal(len(told), olderPerMessage+1)
 			is.Equal(told[0], processName(s.list[250].ID, s.list[250].Born)) // the new one each time
 			for _, process := range told {
 				heard[process] = true
--- a/internal/fleet/places.go
+++ b/internal/fleet/places.go
@@ -9,8 +9,8 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// assumedFleet is the number of instances of a fleet of which nothing is known.
-const assumedFleet = 600
+// assumedFleetSize is the number of instances of a fleet of which nothing is known.
+const assumedFleetSize = 600
 
 // SetEvacuated takes the availability zones that are evacuated: their upstreams get nothing new
 // from now on, and what runs there goes on. Those of zones that are taken back count as cold, as
@@ -20,16 +20,16 @@
 	takenBack := slices.DeleteFunc(slices.Clone(f.evacuated), func(zone string) bool { return slices.Contains(zones, zone) })
 	f.evacuated = zones
 	now := time.Now()
-	updated := updates{}
+	updated := memberUpdates{}
 	for _, u := range f.upstreams {
 		if slices.Contains(takenBack, u.Zone) {
-			u.keepCold(now, f.services[u.Service].coldStart.For)
+			u.extendCold(now, f.services[u.Service].coldStart.For)
 		}
-		f.refresh(u, updated)
+		f.refreshUsability(u, updated)
 	}
 	shards := updated.apply()
 	f.mu.Unlock()
-	poll(shards)
+	pollShards(shards)
 }
 
 // SetServices takes what the configuration says of services.
@@ -43,20 +43,20 @@
 		}
 	}
 	f.mu.Unlock()
-	f.limitStarts()
+	f.updateGrantLimits()
 }
 
-// limitStarts lets each shard know how much of what cold upstreams bear this instance may grant, and
+// updateGrantLimits lets each shard know how much of what cold upstreams bear this instance may grant, and
 // send what it has room for.
-func (f *Fleet) limitStarts() {
-	reached, limited := f.reach(), f.limits.Count() > 0
+func (f *Fleet) updateGrantLimits() {
+	reached, limited := f.reachability(), f.limits.Count() > 0
 	for _, s := range f.all() {
 		f.mu.Lock()
 		coldStart := f.serviceOf(s.service).coldStart
 		f.mu.Unlock()
 		reach := reached
 		if coldStart.Limits() || limited {
-			reach.Asked = f.isAsked(s, reached.Asked)
+			reach.Asked = f.isQueried(s, reached.Asked)
 		}
 		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 			core.SetColdStart(coldStart, reach)
@@ -65,9 +65,9 @@
 	}
 }
 
-// reach says which part of what upstreams bear this instance may grant. One that has just started, or has
+// reachability says which part of what upstreams bear this instance may grant. One that has just started, or has
 // heard of nobody, doesn't know which part of the fleet it is, and isn't asked by others.
-func (f *Fleet) reach() scheduler.Reach {
+func (f *Fleet) reachability() scheduler.Reach {
 	if f.slots == nil {
 		return scheduler.Reach{Asked: true, Fleet: 1}
 	}
@@ -75,13 +75,13 @@
 	instances := f.instances
 	f.mu.Unlock()
 	if len(instances) == 1 {
-		return scheduler.Reach{Asked: f.slots.FleetSize() == 1, Fleet: 1, Alone: f.alonePart()}
+		return scheduler.Reach{Asked: f.slots.FleetSize() == 1, Fleet: 1, Alone: f.ownShare()}
 	}
-	return scheduler.Reach{Asked: f.Settled(), Zones: zonesInReach(instances), Fleet: f.partInReach(), Alone: f.alonePart()}
+	return scheduler.Reach{Asked: f.Settled(), Zones: reachableZoneShares(instances), Fleet: f.reachableShare(), Alone: f.ownShare()}
 }
 
-// alonePart is the part of all instances that this one is.
-func (f *Fleet) alonePart() float64 {
+// ownShare is the part of all instances that this one is.
+func (f *Fleet) ownShare() float64 {
 	if f.slots == nil {
 		return 1
 	}
@@ -90,25 +90,25 @@
 	f.mu.Unlock()
 	size := f.slots.FleetSize()
 	if known == 1 {
-		return 1 / float64(cmp.Or(size, assumedFleet))
+		return 1 / float64(cmp.Or(size, assumedFleetSize))
 	}
 	return 1 / float64(max(size, known))
 }
 
-// isAsked tells whether the others ask this instance for slots of a shard, where they ask it at all: it is one
+// isQueried tells whether the others ask this instance for slots of a shard, where they ask it at all: it is one
 // of the first that may own the shard.
-func (f *Fleet) isAsked(s *shard, atAll bool) bool {
+func (f *Fleet) isQueried(s *shard, atAll bool) bool {
 	f.mu.Lock()
 	instances := f.instances
 	f.mu.Unlock()
 	if !atAll || len(instances) == 1 {
 		return atAll
 	}
-	return f.owners.first(shardKey{service: s.service, index: s.index}, instances, f.o.Instance)
+	return f.owners.isCandidate(shardKey{service: s.service, index: s.index}, instances, f.o.Instance)
 }
 
-// zonesInReach returns the part of each availability zone's instances that is within reach.
-func zonesInReach(instances []Instance) map[string]float64 {
+// reachableZoneShares returns the part of each availability zone's instances that is within reach.
+func reachableZoneShares(instances []Instance) map[string]float64 {
 	all, reached := map[string]int{}, map[string]int{}
 	for _, i := range instances {
 		all[i.Zone]++
--- a/internal/fleet/quotas_test.go
+++ b/internal/fleet/quotas_test.go
@@ -29,7 +29,7 @@
 		"without window": {Allowance{Tokens: 99}, routing.Organisation{TokensPerSecond: 100}, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(c.allowed.raise(&c.organisation), c.rate)
+			is.New(t).Equal(c.allowed.raisedRate(&c.organisation), c.rate)
 		})
 	}
 }
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	allowed := Allowance{Share: 0.25, Window: 8 * time.Second}
 	o := &routing.Organisation{TokensPerSecond: 100_000, BurstTokens: 100_000}
-	limit := quota.Limit{Rate: allowed.raise(o), Burst: o.BurstTokens}
+	limit := quota.Limit{Rate: allowed.raisedRate(o), Burst: o.BurstTokens}
 	begin := time.Now()
 	granted := 0
 	take := func(keeper *quota.Limiter, now time.Time) {
--- a/internal/fleet/repeats_test.go
+++ b/internal/fleet/repeats_test.go
@@ -22,22 +22,22 @@
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newSized(300, instances-1)
+				s := newSizedFleet(300, instances-1)
 				s.fleet.o.RetryBudget = retrybudget.Bound{Share: 0.2, Extra: 640, Window: 10 * time.Second}
 				for _, service := range s.fleet.services {
-					s.fleet.shareRepeats(service)
+					s.fleet.updateRetryBudgets(service)
 				}
 				asked, repeated := 0, 0
 				for range 10 { // seconds
 					<-time.After(time.Second)
 					for i := range 10 * failing {
 						shard := s.fleet.all()[i%len(s.fleet.all())]
-						is.True(charge(shard.repeats, peer.AskFirst) == nil)
+						is.True(charge(shard.retryBudget, peer.AskFirst) == nil)
 						if i%failing > 0 {
 							continue
 						}
 						asked++
-						if charge(shard.repeats, peer.AskRepeat) == nil {
+						if charge(shard.retryBudget, peer.AskRepeat) == nil {
 							repeated++
 						}
 					}
@@ -52,9 +52,9 @@
 func TestARepeatIsPaidForOnceItIsMade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSized(1, 0)
+		s := newSizedFleet(1, 0)
 		s.fleet.o.RetryBudget = retrybudget.Bound{Extra: 3, Window: time.Second}
-		s.fleet.shareRepeats(s.fleet.services["s"])
+		s.fleet.updateRetryBudgets(s.fleet.services["s"])
 		repeat := func() (Grant, *api.Problem) {
 			w := generation()
 			w.Attempt = peer.AskRepeat
--- a/internal/fleet/rests.go
+++ b/internal/fleet/rests.go
@@ -11,8 +11,8 @@
 // ErrBackingOff: it has asked this instance for rest.
 var ErrBackingOff = fmt.Errorf("%w: %w", ErrNotUsable, rest.ErrBackingOff)
 
-// mostWithout bounds the upstreams that an owner is told this instance won't send to.
-const mostWithout = 64
+// maxExcluded bounds the upstreams that an owner is told this instance won't send to.
+const maxExcluded = 64
 
 // BeginBackoff notes that an upstream wants nothing from this instance for so long.
 func (f *Fleet) BeginBackoff(id string, wanted time.Duration) {
@@ -20,7 +20,7 @@
 	if process == "" {
 		return // it has left, and gets nothing more
 	}
-	f.rests.Begin(time.Now(), id, process, wanted)
+	f.backoffs.Begin(time.Now(), id, process, wanted)
 	f.o.Log.Info().Str("event", "upstream_rests").Str("upstream", id).Dur("wanted", wanted).Msg("")
 }
 
@@ -34,31 +34,31 @@
 	if _, limited := f.Limit(id); limited && !l.Limited() {
 		return ErrLimitUnknown
 	}
-	if f.rests.Claim(time.Now(), id) != nil {
+	if f.backoffs.Claim(time.Now(), id) != nil {
 		return ErrBackingOff
 	}
 	return nil
 }
 
 // RecordResponse notes that an upstream has answered a request, and doesn't ask for rest.
-func (f *Fleet) RecordResponse(id string) { f.rests.Clear(time.Now(), id) }
+func (f *Fleet) RecordResponse(id string) { f.backoffs.Clear(time.Now(), id) }
 
 // RecordNoResponse notes that a request that went to an upstream wasn't answered.
-func (f *Fleet) RecordNoResponse(id string) { f.rests.ReleaseClaim(id) }
+func (f *Fleet) RecordNoResponse(id string) { f.backoffs.ReleaseClaim(id) }
 
-// without returns the upstreams that this instance won't send to though they are on the list. Who owns
+// excludedUpstreams returns the upstreams that this instance won't send to though they are on the list. Who owns
 // them has to know, or it goes on granting them.
-func (f *Fleet) without() []string {
-	out := f.rests.BackingOff(time.Now())
+func (f *Fleet) excludedUpstreams() []string {
+	out := f.backoffs.BackingOff(time.Now())
 	f.mu.Lock()
-	for process := range f.saidLeaving {
+	for process := range f.leavingNotices {
 		u := f.processes[process]
 		if u != nil && !u.Leaving && !slices.Contains(out, u.ID) {
 			out = append(out, u.ID)
 		}
 	}
 	f.mu.Unlock()
-	return out[:min(len(out), mostWithout)]
+	return out[:min(len(out), maxExcluded)]
 }
 
 // ShortestBackoff returns in how long the first upstream of a service may be sent to, where all that may be used
@@ -71,7 +71,7 @@
 		if u.Service != service || u.unusable != nil {
 			continue
 		}
-		left := f.rests.Remaining(now, u.ID)
+		left := f.backoffs.Remaining(now, u.ID)
 		if left == 0 {
 			return 0
 		}
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -16,15 +16,15 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// sized is a fleet of so many instances before so many upstreams, as one of its instances has it.
-type sized struct {
+// sizedFleet is a fleet of so many instances before so many upstreams, as one of its instances has it.
+type sizedFleet struct {
 	fleet   *Fleet
 	list    []view.Upstream
 	version int64
 }
 
-func newSized(upstreams, others int) *sized {
-	s := &sized{version: 1}
+func newSizedFleet(upstreams, others int) *sizedFleet {
+	s := &sizedFleet{version: 1}
 	for i := range upstreams {
 		s.list = append(s.list, view.Upstream{ID: fmt.Sprintf("i-%06d", i), Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8, Born: 1_000_000 + int64(i)})
 	}
@@ -40,36 +40,36 @@
 	return s
 }
 
-// change lets one upstream leave, or stay after all.
-func (s *sized) change() {
+// changeOneUpstream lets one upstream leave, or stay after all.
+func (s *sizedFleet) changeOneUpstream() {
 	s.version++
 	u := &s.list[int(s.version)%len(s.list)]
 	u.Leaving = !u.Leaving
 	s.fleet.ApplyListChange(view.ListChange{Version: s.version, Changed: []view.Upstream{*u}})
 }
 
-// hear takes a peer's word of upstreams that leave, which are gone from the list.
-func (s *sized) hear() {
+// receiveUpdates takes a peer's word of upstreams that leave, which are gone from the list.
+func (s *sizedFleet) receiveUpdates() {
 	s.fleet.MergeLeavingNotices("p", []string{"i-gone@1", "i-gone@2", "i-gone@3"})
 	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{Running: map[string]int{s.list[0].ID: 1}})
 }
 
-// ask works out what is told to an owner with a request.
-func (s *sized) ask() { s.fleet.without() }
+// listExcluded works out what is told to an owner with a request.
+func (s *sizedFleet) listExcluded() { s.fleet.excludedUpstreams() }
 
 // What an instance does at a change of one upstream, at a peer's heartbeat, for a request and every moment to
 // look after its upstreams doesn't grow with how many there are. Allocations stand for work here: whatever goes
 // through all upstreams allocates for each of them, or for each shard.
 func TestWorkDoesNotGrowWithTheUpstreams(t *testing.T) {
-	for name, work := range map[string]func(*sized){
-		"a change of one upstream": (*sized).change,
-		"a heartbeat":              (*sized).hear,
-		"a request":                (*sized).ask,
-		"closing connections":      func(s *sized) { s.fleet.CloseExpired(time.Now()) },
+	for name, work := range map[string]func(*sizedFleet){
+		"a change of one upstream": (*sizedFleet).changeOneUpstream,
+		"a heartbeat":              (*sizedFleet).receiveUpdates,
+		"a request":                (*sizedFleet).listExcluded,
+		"closing connections":      func(s *sizedFleet) { s.fleet.CloseExpired(time.Now()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cost := func(upstreams int) float64 {
-				s := newSized(upstreams, 20)
+				s := newSizedFleet(upstreams, 20)
 				return testing.AllocsPerRun(100, func() { work(s) })
 			}
 			small, large := cost(300), cost(6_000)
@@ -82,10 +82,10 @@
 // An upstream that stays keeps what was learned of it through changes of others, and new ones are used.
 func TestAChangeOfOneUpstreamLeavesOthersAlone(t *testing.T) {
 	is := is.New(t)
-	s := newSized(300, 0)
+	s := newSizedFleet(300, 0)
 	before := members(s.fleet)
 	is.Equal(len(before), 300)
-	s.change()
+	s.changeOneUpstream()
 	s.fleet.ApplyListChange(view.ListChange{Version: 9, Changed: []view.Upstream{{ID: "i-new", Service: "s", Address: "127.0.0.1:2", Slots: 8}}, Gone: []string{s.list[5].ID}})
 	after := members(s.fleet)
 	is.Equal(len(after), 300)
@@ -110,7 +110,7 @@
 // However a list came to be, each upstream is in the shard that all instances work out for it.
 func TestUpstreamsAreAssignedAnewWhenTheNumberOfShardsChanges(t *testing.T) {
 	is := is.New(t)
-	s := newSized(120, 0)
+	s := newSizedFleet(120, 0)
 	for i := range 200 {
 		u := view.Upstream{ID: fmt.Sprint("j-", i), Service: "s", Address: "127.0.0.1:1", Slots: 8}
 		s.fleet.ApplyListChange(view.ListChange{Version: int64(i + 2), Changed: []view.Upstream{u}})
@@ -118,7 +118,7 @@
 	for i := range 100 {
 		s.fleet.ApplyListChange(view.ListChange{Version: int64(i + 300), Gone: []string{fmt.Sprint("j-", i)}})
 	}
-	want := shardsOf(220)
+	want := shardCount(220)
 	shards := s.fleet.all()
 	is.Equal(len(shards), want)
 	seen := 0
@@ -139,12 +139,12 @@
 // the two own it one after the other, and neither knows what the other has granted.
 func TestAnUpstreamThatMovesToAnotherShardGetsNoMoreThanItBears(t *testing.T) {
 	is := is.New(t)
-	const most = coldBears*coldOverage + coldSlack
-	owner := func() *sized {
-		s := newSized(shardSize, 0)
+	const most = coldRate*coldOverage + coldSlack
+	owner := func() *sizedFleet {
+		s := newSizedFleet(shardSize, 0)
 		s.fleet.slots = nil // it grants alone
 		s.fleet.o.ColdOverage, s.fleet.o.ColdSlack = coldOverage, coldSlack
-		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdPerSecond: coldBears}})
+		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldDuration, ColdPerSecond: coldRate}})
 		return s
 	}
 	first, second := owner(), owner()
@@ -179,7 +179,7 @@
 // What others run at an upstream is counted wherever the upstream moves to.
 func TestWhatOthersRunIsCountedInTheShardOfToday(t *testing.T) {
 	is := is.New(t)
-	s := newSized(shardSize, 0)
+	s := newSizedFleet(shardSize, 0)
 	busy := s.list[7].ID
 	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{Running: map[string]int{busy: 3}})
 	running := func() (n int) {
@@ -208,9 +208,9 @@
 func BenchmarkAChangeOfOneUpstream(b *testing.B) {
 	for _, upstreams := range []int{300, 3_000, 30_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
-			s := newSized(upstreams, 583)
+			s := newSizedFleet(upstreams, 583)
 			for b.Loop() {
-				s.change()
+				s.changeOneUpstream()
 			}
 		})
 	}
--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -37,25 +37,25 @@
 
 // Acquire blocks until the request gets a slot, is refused, or ctx ends.
 func (f *Fleet) Acquire(ctx context.Context, w *AcquireRequest) (Grant, *api.Problem) {
-	w.Request.Without = f.without()
+	w.Request.Without = f.excludedUpstreams()
 	shard, owners := f.shardAndOwners(w)
 	repeats := f.RetryBudget(w.Service)
 	for _, owner := range owners {
 		if owner == f.o.Instance {
-			repeats = shard.repeats
+			repeats = shard.retryBudget
 			break
 		}
-		l, problem, err := f.ask(ctx, owner, shard, w)
+		l, problem, err := f.requestSlot(ctx, owner, shard, w)
 		switch {
 		case err == nil:
 			return l, problem
 		case ctx.Err() != nil:
 			return nil, pool.EndedWaiting(ctx)
 		}
-		f.distrust(owner, w.ID, err)
+		f.markUnresponsive(owner, w.ID, err)
 	}
 	if len(owners) == 0 {
-		repeats = shard.repeats // there is nobody else
+		repeats = shard.retryBudget // there is nobody else
 	}
 	if problem := charge(repeats, w.Attempt); problem != nil {
 		return nil, problem
@@ -65,11 +65,11 @@
 	w.Request.Region = f.o.Regions[f.o.Zone]
 	grant, problem := shard.pool.Acquire(ctx, w.Request)
 	if problem != nil {
-		f.noteShort(w.Service)
+		f.spreadRequests(w.Service)
 		refund(repeats, w.Attempt)
 		return nil, problem
 	}
-	return &ownLease{shard: shard, grant: grant, listVersion: f.listVersion()}, nil
+	return &localGrant{shard: shard, grant: grant, listVersion: f.listVersion()}, nil
 }
 
 // charge takes what an attempt costs of a budget of repeats, or adds what it earns.
@@ -93,7 +93,7 @@
 // shardAndOwners returns a shard and who schedules it; no owner means this instance.
 func (f *Fleet) shardAndOwners(w *AcquireRequest) (*shard, []string) {
 	f.mu.Lock()
-	shard := f.serviceOf(w.Service).drawShard(time.Now())
+	shard := f.serviceOf(w.Service).selectShard(time.Now())
 	f.mu.Unlock()
 	if f.slots == nil {
 		return shard, nil
@@ -110,38 +110,38 @@
 	if len(instances) == 1 {
 		return nil
 	}
-	owners := f.owners.of(k, instances, time.Now())
-	if len(owners) > 0 && f.owners.changed(k, owners[0]) {
+	owners := f.owners.candidates(k, instances, time.Now())
+	if len(owners) > 0 && f.owners.recordOwner(k, owners[0]) {
 		f.o.Log.Info().Str("event", "shard_owner").Str("service", k.service).Int("shard", k.index).
 			Str("owner", owners[0]).Int("instances", len(instances)).Msg("")
 	}
 	return owners
 }
 
-// distrust notes that an owner couldn't be asked.
-func (f *Fleet) distrust(owner, id string, err error) {
+// markUnresponsive notes that an owner couldn't be asked.
+func (f *Fleet) markUnresponsive(owner, id string, err error) {
 	f.o.Metrics.Count("tacktally_slot_requests_undecided_total")
 	f.o.Log.Warn().Str("event", "owner_silent").Str("request", id).Str("owner", owner).Str("cause", err.Error()).Msg("")
-	f.owners.distrust(owner, time.Now())
+	f.owners.markUnresponsive(owner, time.Now())
 }
 
-// ask asks the owner of a shard for a slot. The error says that it didn't decide.
-func (f *Fleet) ask(ctx context.Context, owner string, s *shard, w *AcquireRequest) (Grant, *api.Problem, error) {
-	slot, refusal, err := f.slots.AcquireSlot(ctx, owner, f.slotRequest(time.Now(), s, w), ackWithin)
+// requestSlot asks the owner of a shard for a slot. The error says that it didn't decide.
+func (f *Fleet) requestSlot(ctx context.Context, owner string, s *shard, w *AcquireRequest) (Grant, *api.Problem, error) {
+	slot, refusal, err := f.slots.AcquireSlot(ctx, owner, f.slotRequest(time.Now(), s, w), ackTimeout)
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case refusal != nil && api.Reason(refusal.Reason) == api.ReasonRetryBudget:
 		return nil, problemOf(refusal), nil
 	case refusal != nil:
-		f.noteShort(w.Service)
+		f.spreadRequests(w.Service)
 		return nil, problemOf(refusal), nil
 	case slot.Queued:
-		f.noteShort(w.Service)
+		f.spreadRequests(w.Service)
 	}
 	s.pool.Adopt(slot.Grant.Upstream, ratesOf(slot.Grant))
-	l := &peerLease{owner: owner, grant: slot.Grant, slot: slot, all: &f.leases}
-	f.leases.add(l)
+	l := &peerGrant{owner: owner, slotGrant: slot.Grant, slot: slot, tracked: &f.peerGrants}
+	f.peerGrants.add(l)
 	return l, nil, nil
 }
 
@@ -170,7 +170,7 @@
 		Exclude:      r.Exclude,
 		Without:      r.Without,
 		Ask:          w.Attempt,
-		Limits:       f.limitsToTell(s.service),
+		Limits:       f.limitsForOwner(s.service),
 		Zone:         f.o.Zone,
 		Bound:        r.Homes.Bound,
 		Regions:      r.Homes.Regions,
@@ -181,8 +181,8 @@
 	return out
 }
 
-// requestOf turns a peer's request into the scheduler's.
-func requestOf(now time.Time, r *peer.SlotRequest) *scheduler.Request {
+// schedulerRequest turns a peer's request into the scheduler's.
+func schedulerRequest(now time.Time, r *peer.SlotRequest) *scheduler.Request {
 	var parts []prefix.Part
 	for _, p := range r.Parts {
 		parts = append(parts, prefix.Part{Sum: p.Sum, Tokens: p.Tokens})
@@ -224,12 +224,12 @@
 	}
 	f.MergeLimits(s.Peer, r.Limits)
 	shard := f.shardAt(r.Service, r.Shard)
-	if p := charge(shard.repeats, r.Ask); p != nil {
+	if p := charge(shard.retryBudget, r.Ask); p != nil {
 		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
-	request := requestOf(time.Now(), r)
+	request := schedulerRequest(time.Now(), r)
 	request.Region = f.o.Regions[r.Zone]
 	waiting := shard.pool.Submit(request)
 	turn, decided := waiting.Decided()
@@ -238,7 +238,7 @@
 		turn = waiting.Wait(ctx)
 	}
 	if turn.Problem != nil {
-		refund(shard.repeats, r.Ask)
+		refund(shard.retryBudget, r.Ask)
 		p := turn.Problem
 		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -21,8 +21,8 @@
 // process names the process that it has.
 func (u *upstream) process() string { return processName(u.ID, u.Born) }
 
-// keepCold makes it count as cold for so long at least.
-func (u *upstream) keepCold(now time.Time, least time.Duration) {
+// extendCold makes it count as cold for so long at least.
+func (u *upstream) extendCold(now time.Time, least time.Duration) {
 	u.Cold = max(u.listed.Add(u.Cold).Sub(now), least)
 	u.listed = now
 }
@@ -38,19 +38,19 @@
 		Leaving:   u.unusable != nil,
 		Born:      u.Born,
 		ColdUntil: u.listed.Add(u.Cold),
-		Limit:     f.limitOf(u.process()),
+		Limit:     f.advertisedLimit(u.process()),
 	}
 }
 
-// updates collects what shards are to be told of their upstreams.
-type updates map[*shard]*memberChanges
+// memberUpdates collects what shards are to be told of their upstreams.
+type memberUpdates map[*shard]*memberChanges
 
 type memberChanges struct {
 	changed []scheduler.Member
-	gone    []string
+	removed []string
 }
 
-func (p updates) forShard(s *shard) *memberChanges {
+func (p memberUpdates) forShard(s *shard) *memberChanges {
 	c := p[s]
 	if c == nil {
 		c = &memberChanges{}
@@ -60,9 +60,9 @@
 }
 
 // apply tells the shards, and returns them.
-func (p updates) apply() []*shard {
+func (p memberUpdates) apply() []*shard {
 	for s, c := range p {
-		s.pool.ChangeMembers(c.changed, c.gone)
+		s.pool.ChangeMembers(c.changed, c.removed)
 	}
 	return slices.Collect(maps.Keys(p))
 }
@@ -73,40 +73,40 @@
 	f.mu.Lock()
 	f.version = change.Version
 	now := time.Now()
-	updated := updates{}
+	updated := memberUpdates{}
 	for _, id := range change.Gone {
 		f.removeUpstream(id, updated)
 	}
 	for _, u := range change.Changed {
 		f.putUpstream(now, u, updated)
 	}
-	f.forgetWords(now)
+	f.pruneProcessState(now)
 	changed := updated.apply()
 	resharded := f.reshardAll()
 	f.mu.Unlock()
 	if resharded {
-		f.reapplyOthers()
-		f.limitStarts()
+		f.reapplyPeerLoads()
+		f.updateGrantLimits()
 		return
 	}
-	poll(changed)
+	pollShards(changed)
 }
 
 // removeUpstream drops all that is kept of an upstream. The caller holds the lock.
-func (f *Fleet) removeUpstream(id string, updated updates) {
+func (f *Fleet) removeUpstream(id string, updated memberUpdates) {
 	u := f.upstreams[id]
 	if u == nil {
 		return
 	}
-	f.forgetProcess(u)
+	f.dropProcess(u)
 	delete(f.upstreams, id)
 	f.services[u.Service].upstreams--
 	c := updated.forShard(u.shard)
-	c.gone = append(c.gone, id)
+	c.removed = append(c.removed, id)
 }
 
 // putUpstream takes an upstream that is new on the list, or has changed. The caller holds the lock.
-func (f *Fleet) putUpstream(now time.Time, listed view.Upstream, updated updates) {
+func (f *Fleet) putUpstream(now time.Time, listed view.Upstream, updated memberUpdates) {
 	known := f.upstreams[listed.ID]
 	if known != nil && known.Service != listed.Service {
 		f.removeUpstream(listed.ID, updated)
@@ -120,19 +120,19 @@
 		u.shard = s.shards[shardFor(u.ID, len(s.shards))]
 	case known.process() != u.process() || known.Address != u.Address:
 		u.shard = known.shard
-		f.forgetProcess(known)
+		f.dropProcess(known)
 	default:
 		u.shard = known.shard
 	}
-	f.rests.DropStale(u.ID, u.process())
+	f.backoffs.DropStale(u.ID, u.process())
 	f.upstreams[u.ID] = u
 	f.processes[u.process()] = u
-	f.refresh(u, updated)
+	f.refreshUsability(u, updated)
 }
 
-// forgetProcess drops what is kept of the process that an upstream had: its connections are of no use. The caller holds
+// dropProcess drops what is kept of the process that an upstream had: its connections are of no use. The caller holds
 // the lock.
-func (f *Fleet) forgetProcess(u *upstream) {
+func (f *Fleet) dropProcess(u *upstream) {
 	f.closeConnections(u.ID)
 	delete(f.processes, u.process())
 }
@@ -141,7 +141,7 @@
 // whether one has. The caller holds the lock.
 func (f *Fleet) reshardAll() (resharded bool) {
 	for _, s := range f.services {
-		if want := shardsOf(s.upstreams); want != len(s.shards) {
+		if want := shardCount(s.upstreams); want != len(s.shards) {
 			f.reshard(s, want)
 			resharded = true
 		}
@@ -156,10 +156,10 @@
 	for len(shards) < want {
 		shards = append(shards, f.newShard(s.name, len(shards)))
 	}
-	before, dropped := known(s.shards), s.shards[kept:]
+	before, dropped := copyUpstreams(s.shards), s.shards[kept:]
 	s.shards = shards
-	s.homes = homesOf(f.o.Instance, s.name, want)
-	f.shareRepeats(s)
+	s.preferredShards = preferredShardsOf(f.o.Instance, s.name, want)
+	f.updateRetryBudgets(s)
 	members := make([][]scheduler.Member, want)
 	now := time.Now()
 	for _, u := range f.upstreams {
@@ -182,8 +182,8 @@
 	}
 }
 
-// known returns copies of what the shards know of their upstreams, by ID.
-func known(shards []*shard) map[string]*balancer.Upstream {
+// copyUpstreams returns copies of what the shards know of their upstreams, by ID.
+func copyUpstreams(shards []*shard) map[string]*balancer.Upstream {
 	out := map[string]*balancer.Upstream{}
 	for _, s := range shards {
 		s.pool.View(func(core *scheduler.Core) {
@@ -195,9 +195,9 @@
 	return out
 }
 
-// refresh finds out anew whether an upstream may be used. The caller holds the lock.
-func (f *Fleet) refresh(u *upstream, updated updates) {
-	u.unusable = f.whyUnusable(u.Upstream)
+// refreshUsability finds out anew whether an upstream may be used. The caller holds the lock.
+func (f *Fleet) refreshUsability(u *upstream, updated memberUpdates) {
+	u.unusable = f.unusableReason(u.Upstream)
 	c := updated.forShard(u.shard)
 	c.changed = append(c.changed, f.member(u))
 }
