--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -21,8 +21,8 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// What a deployment's sheet says of cold upstreams: they bear coldRate requests a second for
-// coldDuration, and crash at more than maxColdPerSecond in any second.
+// Limits of cold upstreams in the harness: they can serve coldRate requests per second for coldDuration,
+// and crash at more than maxColdPerSecond in any second.
 const (
 	coldRate         = 10
 	coldDuration     = 3 * time.Second
@@ -34,19 +34,19 @@
 	coldInstances    = 10
 	coldUpstreams    = 6
 	coldRequestTime  = 400 * time.Millisecond
-	coldDemand       = 14.0 // requests a second for each upstream, over all instances
+	coldDemand       = 14.0 // requests per second for each upstream, over all instances
 )
 
-// coldRunCount is how many plays are made, each with a seed of its own.
-var coldRunCount = flag.Uint64("cold-plays", 12, "plays of upstreams that become cold")
+// coldRunCount is the number of simulation runs, each with its own seed.
+var coldRunCount = flag.Uint64("cold-plays", 12, "simulation runs of upstreams that become cold")
 
-// coldHarness is a fleet before upstreams that become cold now and then. Instances are cut from each
-// other, freeze with leases in hand, and start again knowing nothing; all of them reach all upstreams.
+// coldHarness simulates a fleet and upstreams that become cold now and then. Instances are partitioned,
+// freeze with unsent grants, and restart without state; all of them can reach all upstreams.
 type coldHarness struct {
 	random  *rand.Rand
 	members []*coldMember
-	side    map[string]int       // by address; those of unlike sides don't reach each other
-	cold    map[string]time.Time // until when each upstream is, in truth
+	side    map[string]int       // of the network partition, by address; different sides are disconnected
+	cold    map[string]time.Time // until when each upstream is actually cold
 	arrived map[string][]time.Time
 	worst   int
 	list    []view.Upstream
@@ -54,22 +54,22 @@
 	eventQueue
 }
 
-// eventQueue is what is to happen in a simulated world. All of it happens in one goroutine, step by step, so that a
-// seed plays the same each time.
+// eventQueue holds the scheduled events of a simulation. All of them run in one goroutine, step by step,
+// so that a run is reproducible by its seed.
 type eventQueue struct{ due []event }
 
-// event is what happens at a time.
+// event is a function to run at a given time.
 type event struct {
 	at  time.Time
 	run func()
 }
 
-// schedule lets something happen.
-func (a *eventQueue) schedule(d time.Duration, happen func()) {
-	a.due = append(a.due, event{time.Now().Add(d), happen})
+// schedule schedules a function to run after d.
+func (a *eventQueue) schedule(d time.Duration, run func()) {
+	a.due = append(a.due, event{time.Now().Add(d), run})
 }
 
-// runDue lets runDue what is due.
+// runDue runs the events that are due.
 func (a *eventQueue) runDue() {
 	due := a.due
 	a.due = nil
@@ -82,177 +82,177 @@
 	}
 }
 
-// coldMember is one instance.
+// coldMember is one instance of the harness.
 type coldMember struct {
-	world       *coldHarness
+	harness     *coldHarness
 	address     string
 	fleet       *Fleet
 	started     time.Time
 	frozen      time.Time // until when
-	knownSide   int       // its side, as far as it has noticed
-	unsent      []string  // upstreams of leases that it held when it froze
-	listVersion int64     // version of the list
+	knownSide   int       // its side, as far as it has detected
+	unsent      []string  // upstreams of grants that it had not used when it froze
+	listVersion int64     // that it has applied
 }
 
 func (m *coldMember) isFrozen() bool { return time.Now().Before(m.frozen) }
 
-// AcquireSlot implements Slots: it asks another member's scheduler.
+// AcquireSlot implements SlotClient with another member's scheduler.
 func (m *coldMember) AcquireSlot(_ context.Context, address string, r *peer.SlotRequest, _ time.Duration) (*peer.Slot, *peer.SlotRefusal, error) {
-	w := m.world
-	at := slices.IndexFunc(w.members, func(o *coldMember) bool { return o.address == address })
-	other := w.members[at]
-	if other.isFrozen() || w.side[address] != w.side[m.address] {
+	h := m.harness
+	at := slices.IndexFunc(h.members, func(o *coldMember) bool { return o.address == address })
+	other := h.members[at]
+	if other.isFrozen() || h.side[address] != h.side[m.address] {
 		return nil, nil, peer.ErrNoReply
 	}
-	turn, decided := other.fleet.shardAt(r.Service, r.Shard).pool.Submit(schedulerRequest(time.Now(), r)).Decided()
-	if !decided || turn.Grant == nil {
+	decision, decided := other.fleet.shardAt(r.Service, r.Shard).pool.Submit(schedulerRequest(time.Now(), r)).Decided()
+	if !decided || decision.Grant == nil {
 		return nil, &peer.SlotRefusal{Reason: "full"}, nil
 	}
 	pool := other.fleet.shardAt(r.Service, r.Shard).pool
-	w.schedule(coldRequestTime, func() { pool.End(turn.Grant, scheduler.Completed, 9) })
-	return &peer.Slot{Grant: peer.SlotGrant{Upstream: turn.Grant.Upstream.ID}}, nil, nil
+	h.schedule(coldRequestTime, func() { pool.End(decision.Grant, scheduler.Completed, 9) })
+	return &peer.Slot{Grant: peer.SlotGrant{Upstream: decision.Grant.Upstream.ID}}, nil, nil
 }
 
-// FleetSize implements Slots.
+// FleetSize implements SlotClient.
 func (m *coldMember) FleetSize() int { return coldInstances }
 
 func newColdWorld(seed uint64) *coldHarness {
-	w := &coldHarness{random: rand.New(rand.NewPCG(seed, 7)), side: map[string]int{}, cold: map[string]time.Time{}, arrived: map[string][]time.Time{}, version: 1}
+	h := &coldHarness{random: rand.New(rand.NewPCG(seed, 7)), side: map[string]int{}, cold: map[string]time.Time{}, arrived: map[string][]time.Time{}, version: 1}
 	for i := range coldUpstreams {
-		w.list = append(w.list, view.Upstream{ID: fmt.Sprint("u-", i), Service: "s", Address: "127.0.0.1:1", Slots: 10})
+		h.list = append(h.list, view.Upstream{ID: fmt.Sprint("u-", i), Service: "s", Address: "127.0.0.1:1", Slots: 10})
 	}
 	for i := range coldInstances {
-		m := &coldMember{world: w, address: fmt.Sprintf("10.0.0.%d:1", i)}
-		w.members = append(w.members, m)
-		w.start(m)
+		m := &coldMember{harness: h, address: fmt.Sprintf("10.0.0.%d:1", i)}
+		h.members = append(h.members, m)
+		h.start(m)
 	}
-	return w
+	return h
 }
 
-// start lets an instance start anew, knowing the list alone.
-func (w *coldHarness) start(m *coldMember) {
-	m.started, m.unsent, m.listVersion = time.Now(), nil, w.version
+// start restarts an instance, which knows the list alone.
+func (h *coldHarness) start(m *coldMember) {
+	m.started, m.unsent, m.listVersion = time.Now(), nil, h.version
 	m.fleet = New(Options{
 		Instance: m.address, Limits: queue.Limits{MaxItems: 1}, ColdOverage: coldOverage, ColdSlack: coldSlack,
 		Metrics: telemetry.NewMetrics(), Log: telemetry.NewLogger(io.Discard, "error", "test"),
 	})
 	m.fleet.SetSlotClient(m)
 	m.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldDuration, ColdPerSecond: coldRate}})
-	m.fleet.SetUpstreams(w.published())
-	m.knownSide = w.side[m.address]
-	w.updateInstances(m)
+	m.fleet.SetUpstreams(h.published())
+	m.knownSide = h.side[m.address]
+	h.updateInstances(m)
 }
 
-// published is the list, with what its entries say of coldness.
-func (w *coldHarness) published() view.List {
-	list := view.List{Version: w.version, Upstreams: slices.Clone(w.list)}
+// published returns the list, with the remaining cold time of its entries.
+func (h *coldHarness) published() view.List {
+	list := view.List{Version: h.version, Upstreams: slices.Clone(h.list)}
 	for i, u := range list.Upstreams {
-		list.Upstreams[i].Cold = max(time.Until(w.cold[u.ID]), 0)
+		list.Upstreams[i].Cold = max(time.Until(h.cold[u.ID]), 0)
 	}
 	return list
 }
 
-// updateInstances lets a member know whom it reaches.
-func (w *coldHarness) updateInstances(m *coldMember) {
+// updateInstances sets the instances that a member can reach, as far as it has detected.
+func (h *coldHarness) updateInstances(m *coldMember) {
 	var all []Instance
-	for i, other := range w.members {
-		reached := other == m || w.side[other.address] == m.knownSide
+	for i, other := range h.members {
+		reachable := other == m || h.side[other.address] == m.knownSide
 		settled := time.Since(other.started) >= 500*time.Millisecond
-		all = append(all, Instance{Address: other.address, Cores: 0.4 + 0.1*float64(i%3), Reachable: reached, MayOwn: reached, Settled: settled})
+		all = append(all, Instance{Address: other.address, Cores: 0.4 + 0.1*float64(i%3), Reachable: reachable, MayOwn: reachable, Settled: settled})
 	}
 	m.fleet.SetInstances(all)
 }
 
-// disturb lets something happen now and then.
-func (w *coldHarness) disturb() {
-	chance := func(perSecond float64) bool { return w.random.Float64() < perSecond*coldStep.Seconds() }
-	if chance(0.5) { // an upstream becomes cold, and its entry says so within a heartbeat
-		u := w.list[w.random.IntN(len(w.list))].ID
-		w.cold[u], w.arrived[u] = time.Now().Add(coldDuration), nil
-		w.schedule(time.Duration(w.random.IntN(1300))*time.Millisecond, func() { w.version++ })
+// disturb starts random faults.
+func (h *coldHarness) disturb() {
+	chance := func(perSecond float64) bool { return h.random.Float64() < perSecond*coldStep.Seconds() }
+	if chance(0.5) { // an upstream becomes cold, and its entry follows within a heartbeat
+		u := h.list[h.random.IntN(len(h.list))].ID
+		h.cold[u], h.arrived[u] = time.Now().Add(coldDuration), nil
+		h.schedule(time.Duration(h.random.IntN(1300))*time.Millisecond, func() { h.version++ })
 	}
-	if chance(0.25) { // a cut, or its end
-		for i, m := range w.members {
-			w.side[m.address] = 0
-			if i%2 == 0 && w.random.IntN(2) == 0 {
-				w.side[m.address] = 1
+	if chance(0.25) { // a network partition begins, changes or ends
+		for i, m := range h.members {
+			h.side[m.address] = 0
+			if i%2 == 0 && h.random.IntN(2) == 0 {
+				h.side[m.address] = 1
 			}
-			w.schedule(time.Duration(200+w.random.IntN(1000))*time.Millisecond, func() { m.knownSide = w.side[m.address] })
+			h.schedule(time.Duration(200+h.random.IntN(1000))*time.Millisecond, func() { m.knownSide = h.side[m.address] })
 		}
 	}
-	if m := w.members[w.random.IntN(len(w.members))]; chance(0.5) && !m.isFrozen() {
-		m.frozen = time.Now().Add(time.Duration(300+w.random.IntN(2000)) * time.Millisecond)
-		w.schedule(time.Until(m.frozen), func() {
+	if m := h.members[h.random.IntN(len(h.members))]; chance(0.5) && !m.isFrozen() {
+		m.frozen = time.Now().Add(time.Duration(300+h.random.IntN(2000)) * time.Millisecond)
+		h.schedule(time.Until(m.frozen), func() {
 			for _, u := range m.unsent {
-				w.arrive(u)
+				h.arrive(u)
 			}
 			m.unsent = nil
 		})
 	}
-	if m := w.members[w.random.IntN(len(w.members))]; chance(0.5) && !m.isFrozen() {
-		w.start(m)
+	if m := h.members[h.random.IntN(len(h.members))]; chance(0.5) && !m.isFrozen() {
+		h.start(m)
 	}
 }
 
-// step lets callers come to each member, and news with them.
-func (w *coldHarness) step(t *testing.T) {
-	w.runDue()
-	w.disturb()
-	for _, m := range w.members {
+// step sends requests to the members, and distributes list updates.
+func (h *coldHarness) step(t *testing.T) {
+	h.runDue()
+	h.disturb()
+	for _, m := range h.members {
 		if m.isFrozen() {
 			continue
 		}
-		if m.listVersion < w.version && w.random.IntN(20) == 0 {
-			m.listVersion = w.version
-			m.fleet.SetUpstreams(w.published())
+		if m.listVersion < h.version && h.random.IntN(20) == 0 {
+			m.listVersion = h.version
+			m.fleet.SetUpstreams(h.published())
 		}
-		if w.random.IntN(20) == 0 {
-			w.updateInstances(m)
+		if h.random.IntN(20) == 0 {
+			h.updateInstances(m)
 		}
-		if w.random.Float64() < coldDemand*coldUpstreams/coldInstances*coldStep.Seconds() {
-			w.request(t, m)
+		if h.random.Float64() < coldDemand*coldUpstreams/coldInstances*coldStep.Seconds() {
+			h.request(t, m)
 		}
 	}
 }
 
-func (w *coldHarness) request(t *testing.T, m *coldMember) {
+func (h *coldHarness) request(t *testing.T, m *coldMember) {
 	now := time.Now()
-	l, problem := m.fleet.Acquire(t.Context(), &AcquireRequest{ID: "1", Service: "s", Request: &scheduler.Request{
+	g, problem := m.fleet.Acquire(t.Context(), &AcquireRequest{ID: "1", Service: "s", Request: &scheduler.Request{
 		Arrived: now, Deadline: now.Add(time.Minute), Patience: time.Nanosecond, LateIsWorth: true, Prompt: 100,
 	}})
 	if problem != nil {
 		return
 	}
-	if l.Owner() == "" {
-		w.schedule(coldRequestTime, func() { l.End(scheduler.Completed, 9) })
+	if g.Owner() == "" {
+		h.schedule(coldRequestTime, func() { g.End(scheduler.Completed, 9) })
 	}
-	u := l.Upstream()
-	w.schedule(time.Duration(w.random.IntN(30))*time.Millisecond, func() {
+	u := g.Upstream()
+	h.schedule(time.Duration(h.random.IntN(30))*time.Millisecond, func() {
 		if m.isFrozen() {
 			m.unsent = append(m.unsent, u)
 			return
 		}
-		w.arrive(u)
+		h.arrive(u)
 	})
 }
 
-// arrive counts what a cold upstream gets in a second.
-func (w *coldHarness) arrive(u string) {
+// arrive counts the requests that a cold upstream gets in a second.
+func (h *coldHarness) arrive(u string) {
 	now := time.Now()
-	recent := slices.DeleteFunc(w.arrived[u], func(at time.Time) bool { return now.Sub(at) > time.Second })
-	w.arrived[u] = append(recent, now)
-	if now.Before(w.cold[u]) {
-		w.worst = max(w.worst, len(w.arrived[u]))
+	recent := slices.DeleteFunc(h.arrived[u], func(at time.Time) bool { return now.Sub(at) > time.Second })
+	h.arrived[u] = append(recent, now)
+	if now.Before(h.cold[u]) {
+		h.worst = max(h.worst, len(h.arrived[u]))
 	}
 }
 
-// Upstreams become cold at any moment, before anybody has heard of it; instances are cut apart, freeze
-// and start again, so that one shard has two owners, or each instance decides alone. A cold one gets no
-// more in any second than it bears, over all of them.
+// Upstreams become cold at any time, before any instance knows; instances are partitioned, freeze and
+// restart, so that a shard has two owners, or each instance decides on its own. Over all instances a cold
+// upstream must get no more requests in any second than its limit.
 //
-// The pressure is 14 requests a second for each upstream: a burst of twice the ordinary traffic of a
-// deployment whose engines get 7 a second on the average.
-func TestAColdUpstreamGetsNoMoreThanItBears(t *testing.T) {
+// The load is 14 requests per second for each upstream: a burst of twice the ordinary traffic of a
+// deployment whose engines get 7 per second on average.
+func TestColdStartLimitHoldsDuringFaults(t *testing.T) {
 	worst := 0
 	for seed := range *coldRunCount {
 		worst = max(worst, runCold(t, seed))
@@ -260,89 +260,91 @@
 	t.Log("worst second:", worst)
 }
 
-// One of a thousand such plays: an owner froze and the next one took over, while a tenth of the fleet
-// was cut off and nobody had heard yet that the upstream had become cold. The three of them granted 21
-// requests in a second.
-func TestAColdUpstreamThatNobodyHasHeardOfBesideACutAndALostOwner(t *testing.T) {
+// One of a thousand such runs: an owner froze and the next one took over, while a tenth of the fleet was
+// partitioned off and no instance knew yet that the upstream had become cold. The three of them granted
+// 21 requests in a second.
+func TestColdStartLimitHoldsDuringPartitionAndOwnerFailover(t *testing.T) {
 	runCold(t, 856)
 }
 
-// runCold plays one seed, and returns what a cold upstream got in its worst second.
+// runCold runs the simulation with one seed, and returns the number of requests of a cold upstream in its
+// worst second.
 func runCold(t *testing.T, seed uint64) (worst int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newColdWorld(seed)
+		h := newColdWorld(seed)
 		for end := time.Now().Add(coldRunLength); time.Now().Before(end); {
-			w.step(t)
+			h.step(t)
 			<-time.After(coldStep)
 		}
 		synctest.Wait()
-		worst = w.worst
+		worst = h.worst
 	})
 	if worst > maxColdPerSecond {
-		t.Errorf("seed %d: a cold upstream got %d requests in a second; it bears %v", seed, worst, maxColdPerSecond)
+		t.Errorf("seed %d: a cold upstream got %d requests in a second; the limit is %v", seed, worst, maxColdPerSecond)
 	}
 	return worst
 }
 
-// With all instances in reach a cold upstream gets what it bears, and the others the rest.
-func TestAColdUpstreamIsUsedForWhatItBears(t *testing.T) {
+// With all instances reachable a cold upstream gets most of the rate it can serve, and the others get the
+// remaining requests.
+func TestColdUpstreamGetsItsColdStartRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newColdWorld(1)
-		<-time.After(time.Second) // they have settled
-		w.cold["u-0"] = time.Now().Add(coldDuration)
-		w.version++
-		for _, m := range w.members {
-			w.updateInstances(m)
-			m.fleet.SetUpstreams(w.published())
+		h := newColdWorld(1)
+		<-time.After(time.Second) // all instances have settled
+		h.cold["u-0"] = time.Now().Add(coldDuration)
+		h.version++
+		for _, m := range h.members {
+			h.updateInstances(m)
+			m.fleet.SetUpstreams(h.published())
 		}
 		for range 200 {
-			w.runDue()
-			for _, m := range w.members {
-				w.request(t, m)
+			h.runDue()
+			for _, m := range h.members {
+				h.request(t, m)
 			}
 			<-time.After(coldStep)
 		}
 		synctest.Wait()
-		is.True(w.worst >= 0.7*coldRate)
-		is.True(w.worst <= coldRate)
-		is.True(len(w.arrived["u-1"]) > coldRate)
+		is.True(h.worst >= 0.7*coldRate)
+		is.True(h.worst <= coldRate)
+		is.True(len(h.arrived["u-1"]) > coldRate)
 	})
 }
 
-// The upstreams of a zone get nothing while it is evacuated, whoever granted them before, and are cold
-// once it is taken back.
-func TestAnEvacuatedZoneGetsNothing(t *testing.T) {
+// The upstreams of an evacuated zone get no requests, whichever instance granted them, and are cold once
+// the evacuation ends.
+func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newColdWorld(1)
-		for i := range w.list {
-			w.list[i].Zone = []string{"bole", "piassa"}[i%2]
+		h := newColdWorld(1)
+		for i := range h.list {
+			h.list[i].Zone = []string{"bole", "piassa"}[i%2]
 		}
-		m := w.members[0]
-		m.fleet.SetUpstreams(w.published())
+		m := h.members[0]
+		m.fleet.SetUpstreams(h.published())
 		m.fleet.SetInstances([]Instance{{Address: m.address, Reachable: true, MayOwn: true, Settled: true}, {Address: "10.0.0.9:1", Reachable: true, Settled: true}})
-		lease := func() (Grant, bool) {
-			l, problem := m.fleet.Acquire(t.Context(), generation())
-			return l, problem == nil
+		acquire := func() (Grant, bool) {
+			g, problem := m.fleet.Acquire(t.Context(), generation())
+			return g, problem == nil
 		}
-		before, ok := lease()
+		before, ok := acquire()
 		is.True(ok)
 		zoneOf := func(id string) string {
-			return w.list[slices.IndexFunc(w.list, func(u view.Upstream) bool { return u.ID == id })].Zone
+			return h.list[slices.IndexFunc(h.list, func(u view.Upstream) bool { return u.ID == id })].Zone
 		}
 		zone := zoneOf(before.Upstream())
 		m.fleet.SetEvacuated([]string{zone})
-		is.Equal(m.fleet.CheckUsable(before.Upstream()), ErrEvacuated) // a lease in hand
+		is.Equal(m.fleet.CheckUsable(before.Upstream()), ErrEvacuated) // a grant that is not used yet
 		for range 20 {
-			l, ok := lease()
+			g, ok := acquire()
 			is.True(ok)
-			is.True(zoneOf(l.Upstream()) != zone)
+			is.True(zoneOf(g.Upstream()) != zone)
 		}
-		m.fleet.SetUpstreams(w.published()) // a list that comes later changes nothing
+		m.fleet.SetUpstreams(h.published()) // a later list changes nothing
 		is.Equal(m.fleet.CheckUsable(before.Upstream()), ErrEvacuated)
 		m.fleet.SetEvacuated([]string{"bole", "piassa"})
-		_, ok = lease()
+		_, ok = acquire()
 		is.True(!ok)
 		m.fleet.SetEvacuated(nil)
 		is.NoErr(m.fleet.CheckUsable(before.Upstream()))
@@ -352,14 +354,14 @@
 	})
 }
 
-// Whoever owns a shard next begins with what the owner before has learned: grants carry it.
-func TestGrantsTellWhatOwnersHaveLearnedOfSpeeds(t *testing.T) {
+// Grants carry the speeds that the owner has learned, so that the next owner begins with them.
+func TestGrantsCarryLearnedSpeeds(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(3))
 	f.SetSlotClient(grantingSlots{peer.SlotGrant{Upstream: "i-7", Prefill: 56_000, Interval: 4400}})
-	l, problem := f.Acquire(t.Context(), generation())
+	g, problem := f.Acquire(t.Context(), generation())
 	is.True(problem == nil)
-	is.Equal(l.Upstream(), "i-7")
+	is.Equal(g.Upstream(), "i-7")
 	f.shardAt("s", 0).pool.View(func(core *scheduler.Core) {
 		for _, u := range core.Upstreams() {
 			is.Equal(u.Speed.KnowsPace(), u.ID == "i-7")
@@ -370,7 +372,7 @@
 	})
 }
 
-// grantingSlots grants the same slot to each request.
+// grantingSlots is a SlotClient that grants the same slot to each request.
 type grantingSlots struct{ grant peer.SlotGrant }
 
 func (g grantingSlots) AcquireSlot(context.Context, string, *peer.SlotRequest, time.Duration) (*peer.Slot, *peer.SlotRefusal, error) {
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -7,8 +7,8 @@
 	"github.com/tacktally/tacktally/internal/exchange"
 )
 
-// ConnectionsTo returns the connections to an upstream, or nil once it is gone. They are kept from the first use
-// on: one instance sends to a few of many upstreams.
+// ConnectionsTo returns the connection pool of an upstream, or nil if it is not on the list. Pools are
+// created on first use, since one instance sends to a few of many upstreams.
 func (f *Fleet) ConnectionsTo(id string) *exchange.Pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,7 +34,8 @@
 	return p
 }
 
-// closeConnections closes the idle connections to an upstream and keeps none any more. The caller holds the lock.
+// closeConnections closes the idle connections to an upstream and drops its pool. The caller holds the
+// lock.
 func (f *Fleet) closeConnections(id string) {
 	if p := f.connections[id]; p != nil {
 		p.Close()
@@ -42,8 +43,8 @@
 	}
 }
 
-// ProcessOf names the process that an upstream of the list has now: one that starts again under its ID
-// is another. It is empty for one that isn't on the list.
+// ProcessOf returns the name of the current process of an upstream, which changes when the upstream
+// restarts under its ID. It is empty for an upstream that is not on the list.
 func (f *Fleet) ProcessOf(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,17 +61,17 @@
 	return id + "@" + strconv.FormatInt(born, 10)
 }
 
-// Neighbours returns the connections to some other upstreams of an upstream's availability zone, so
-// many at most, drawn by chance.
-func (f *Fleet) Neighbours(id string, most int) (out []*exchange.Pool) {
+// Neighbours returns the connection pools of at most n randomly selected other upstreams in the
+// availability zone of an upstream.
+func (f *Fleet) Neighbours(id string, n int) (out []*exchange.Pool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	zone := ""
 	if u := f.upstreams[id]; u != nil {
 		zone = u.Zone
 	}
-	for other, u := range f.upstreams { // in no order
-		if len(out) == most {
+	for other, u := range f.upstreams { // in random order
+		if len(out) == n {
 			break
 		}
 		if other != id && u.Zone == zone {
@@ -80,8 +81,8 @@
 	return out
 }
 
-// CloseExpired closes connections that were idle for too long, and drops what is kept of upstreams to which
-// none is open any more.
+// CloseExpired closes connections that were idle for too long, and drops the pools that have no open
+// connection any more.
 func (f *Fleet) CloseExpired(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/born_test.go
+++ b/internal/fleet/connections_test.go
@@ -8,9 +8,8 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// Connections to an upstream that has started again, or moved, are those of a process that is
-// gone.
-func TestAnUpstreamThatStartsAgainGetsConnectionsOfItsOwn(t *testing.T) {
+// After a restart or a change of address, the connections of the previous process must not be used.
+func TestRestartedUpstreamGetsNewConnections(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.9:1", instances(1))
 	u := view.Upstream{ID: "i-1", Service: "app", Address: "10.0.0.1:80", Slots: 4, Born: 1}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,92 +21,91 @@
 )
 
 const (
-	// memoryBlocks bounds the remembered prefix blocks of one engine.
+	// memoryBlocks is the maximum number of prefix blocks remembered for one engine.
 	memoryBlocks = 2048
-	// minRetryAfter is the shortest time to come back that a caller is told. Callers
-	// come back within their deadline, which may be a second.
+	// minRetryAfter is the minimum retry delay that callers get. They retry within their deadline, which
+	// may be as short as a second.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// Options of a Fleet.
+// Options configure a Fleet.
 type Options struct {
-	// Instance is this instance's peer address.
+	// Instance is the peer address of this instance.
 	Instance string
-	// Cores is the processor time that it has, in cores; 0 is unknown.
+	// Cores is the processor time that this instance has, in cores; 0 if unknown.
 	Cores float64
-	// Zone is this instance's availability zone; upstreams of others count FarCost
-	// more, and those of another region FarRegionCost beside that.
+	// Zone is the availability zone of this instance. Upstreams of other zones cost CrossZoneCost more,
+	// and those of another region CrossRegionCost in addition.
 	Zone            string
 	CrossZoneCost   time.Duration
 	CrossRegionCost time.Duration
-	// Regions are those of availability zones, by zone.
+	// Regions maps availability zones to their regions.
 	Regions map[string]string
-	// LocalIP is the IP number that connections come from; nil leaves it to the kernel.
+	// LocalIP is the source address of connections to upstreams; if nil, the kernel selects it.
 	LocalIP net.IP
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout bounds the time to open a connection.
 	ConnectTimeout time.Duration
 	Limits         queue.Limits
-	// RetryBudget bounds what is sent again to one service by all instances.
+	// RetryBudget bounds the retries of all instances to one service.
 	RetryBudget retrybudget.Bound
-	// ColdOverage and ColdSlack bound what a cold upstream may get in any second: so many times
-	// what its service says that it bears, and so many requests more.
+	// ColdOverage and ColdSlack bound the requests that a cold upstream may get in any second:
+	// ColdOverage times the cold-start rate of its service, plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// Quarantine says which requests crash upstreams.
+	// Quarantine determines which requests crash upstreams.
 	Quarantine *quarantine.Book
 	Metrics    *telemetry.Metrics
 	Log        *log.Logger
 }
 
-// Fleet is the upstreams of all services, as this instance uses them. Safe for
-// concurrent use.
+// Fleet holds the upstreams of all services, as this instance uses them. Safe for concurrent use.
 //
-// The upstreams of a service are cut into shards. Each is scheduled by one instance, its
-// owner, and the others ask it for slots: where many instances decide by what the others
-// have told, each sees the same free slot, a heartbeat old, and all of them fill it.
+// The upstreams of a service are divided into shards. Each is scheduled by one instance, its owner, and
+// the others request slots from it: if many instances decided by the loads that the others report, each
+// would see the same free slot, as of the last heartbeat, and all of them would fill it.
 type Fleet struct {
 	o Options
 
 	mu          sync.Mutex
 	services    map[string]*service
 	upstreams   map[string]*upstream      // on the list, by ID
-	processes   map[string]*upstream      // the same by the names of their processes
-	connections map[string]*exchange.Pool // to those that were sent to lately, by ID
+	processes   map[string]*upstream      // the same, by process name
+	connections map[string]*exchange.Pool // to recently used upstreams, by ID
 	version     int64                     // of the list
 	instances   []Instance                // this one included, by address
 	evacuated   []string                  // availability zones
-	peerLoads   map[string]peerLoad       // what other instances have told, by address
-	// leavingNotices are processes that have said in an answer that they leave, and wordsTold counts those that
-	// peers were told of in turn.
+	peerLoads   map[string]peerLoad       // as reported by other instances, by address
+	// leavingNotices are the processes that announced in a response that they are leaving. noticesSent is
+	// the round-robin position of the notices in messages to peers.
 	leavingNotices map[string]leavingNotice
 	noticesSent    int
-	slots          SlotClient // nil until there are peers
+	slots          SlotClient // nil without peers
 
 	backoffs    *rest.Backoffs
 	limits      *ratelimit.Registry
 	owners      owners
 	peerGrants  peerGrants
-	lostCounted atomic.Bool // some lost leases were counted last
+	lostCounted atomic.Bool // whether the last CountLostGrants counted any
 }
 
-// service is the upstreams of one service.
+// service holds the upstreams of one service.
 type service struct {
 	name            string
-	upstreams       int // on the list
+	upstreams       int // number on the list
 	retryBudget     *retrybudget.Budget
 	shards          []*shard // replaced as a whole
-	preferredShards []int    // the shards that this instance asks first
-	// spreadUntil is until when it asks all of them.
+	preferredShards []int    // indexes of the shards that this instance uses first
+	// spreadUntil is the time until which requests go to all shards.
 	spreadUntil time.Time
 	coldStart   scheduler.ColdStart
 }
 
-// shard is a part of a service's upstreams.
+// shard is a subset of a service's upstreams that one instance schedules.
 type shard struct {
 	service     string
 	index       int
 	pool        *pool.Pool
-	retryBudget *retrybudget.Budget // that its owner grants
+	retryBudget *retrybudget.Budget // used if this instance decides as the owner
 }
 
 // New returns a fleet without upstreams.
@@ -125,15 +124,15 @@
 	}
 }
 
-// pollShards lets shards send what has room. It is called without the lock.
+// pollShards lets shards grant slots to waiting requests. The caller must not hold the lock.
 func pollShards(shards []*shard) {
 	for _, s := range shards {
 		s.pool.Poll()
 	}
 }
 
-// RetryBudget returns the budget out of which this instance sends requests to a service again while it reaches no
-// owner: its share among all instances.
+// RetryBudget returns the budget for retries to a service while this instance can reach no owner: its
+// share among all instances.
 func (f *Fleet) RetryBudget(service string) *retrybudget.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,17 +162,19 @@
 	return &shard{service: service, index: index, pool: pool.New(pool.Options{Core: core}), retryBudget: retrybudget.New(f.o.RetryBudget.PerOwner(index+1, 1))}
 }
 
-// updateRetryBudgets says which part of the bound on repeats each budget holds. The caller holds the lock.
+// updateRetryBudgets sets the share of the retry bound that each budget of a service holds. The caller
+// holds the lock.
 func (f *Fleet) updateRetryBudgets(s *service) {
-	reached := float64(countReachable(f.instances)) / float64(len(f.instances))
+	reachable := float64(countReachable(f.instances)) / float64(len(f.instances))
 	s.retryBudget.SetOptions(f.o.RetryBudget.PerInstance(len(f.instances)))
 	for _, sh := range s.shards {
-		sh.retryBudget.SetOptions(f.o.RetryBudget.PerOwner(len(s.shards), reached))
+		sh.retryBudget.SetOptions(f.o.RetryBudget.PerOwner(len(s.shards), reachable))
 	}
 }
 
-// initialRetryBudget is the budget of a service that is new here. It starts empty: the peers
-// that share the bound may not be known yet, and before a restart it may have been used.
+// initialRetryBudget returns the options of the budget of a service that is new on this instance. It
+// starts empty: the peers that share the bound may not be known yet, and it may have been used up before
+// a restart.
 func (f *Fleet) initialRetryBudget() retrybudget.Options {
 	o := f.o.RetryBudget.PerInstance(len(f.instances))
 	o.Initial = 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// fleetOf returns the fleet of one of many instances, each with an equal list.
+// fleetOf returns the Fleet of one of several instances; all have the same list.
 func fleetOf(address string, instances []Instance) *Fleet {
 	var list []view.Upstream
 	for i := range 60 {
@@ -36,7 +36,7 @@
 	return f
 }
 
-// noSlots is a mesh without links.
+// noSlots is a SlotClient without links.
 type noSlots struct{}
 
 func (noSlots) AcquireSlot(context.Context, string, *peer.SlotRequest, time.Duration) (*peer.Slot, *peer.SlotRefusal, error) {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// generation is a request that owners schedule.
+// generation is a request with a prompt.
 func generation() *AcquireRequest {
 	now := time.Now()
 	return &AcquireRequest{ID: "1", Service: "s", Request: &scheduler.Request{
@@ -61,28 +61,28 @@
 	}}
 }
 
-// What many instances believe of one upstream's slots is a heartbeat old, so exactly one
-// schedules it, whichever instance a request comes to.
-func TestAllInstancesOfALargeFleetNameOneOwner(t *testing.T) {
+// Loads that other instances report are as old as a heartbeat, so exactly one instance must schedule an
+// upstream, whichever instance gets the request.
+func TestAllInstancesComputeTheSameOwner(t *testing.T) {
 	is := is.New(t)
 	all := instances(63)
-	named := map[string]int{}
+	byOwner := map[string]int{}
 	for _, i := range all {
 		_, owners := fleetOf(i.Address, all).shardAndOwners(generation())
 		is.Equal(len(owners), maxOwners)
-		named[owners[0]]++
+		byOwner[owners[0]]++
 	}
-	is.Equal(len(named), 1)
+	is.Equal(len(byOwner), 1)
 }
 
-func TestAnInstanceWithoutPeersSchedulesForItself(t *testing.T) {
+func TestInstanceWithoutPeersDecidesLocally(t *testing.T) {
 	is := is.New(t)
 	shard, owners := fleetOf("10.0.0.0:1", instances(1)).shardAndOwners(generation())
 	is.Equal(len(owners), 0)
 	shard.pool.View(func(core *scheduler.Core) { is.Equal(len(core.Upstreams()), 60) })
 }
 
-// Whoever is asked schedules on all upstreams of the shard.
+// Any peer may request slots from an instance, which schedules on all upstreams of the shard.
 func TestEachInstanceKnowsAllUpstreams(t *testing.T) {
 	is := is.New(t)
 	all := instances(7)
@@ -92,18 +92,19 @@
 	}
 }
 
-// Plain services are filled by many instances at once, too.
-func TestRequestsWithoutAPromptHaveTheSameOwner(t *testing.T) {
+// Requests of plain services are scheduled by the owner, too: otherwise many instances would fill an
+// upstream at once.
+func TestRequestsWithoutPromptHaveTheSameOwner(t *testing.T) {
 	is := is.New(t)
-	w := generation()
-	w.Request.Prompt = 0
+	req := generation()
+	req.Request.Prompt = 0
 	f := fleetOf("10.0.0.1:1", instances(63))
-	_, owners := f.shardAndOwners(w)
+	_, owners := f.shardAndOwners(req)
 	_, same := f.shardAndOwners(generation())
 	is.Equal(owners, same)
 }
 
-func TestWhoMayOwn(t *testing.T) {
+func TestUnresponsiveOrUnreachableOwnerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	all := instances(63)
 	f := fleetOf("10.0.0.1:1", all)
@@ -114,18 +115,18 @@
 	first := owner()
 	f.owners.markUnresponsive(first, time.Now())
 	second := owner()
-	is.True(second != first) // one that said nothing is passed over
+	is.True(second != first) // an unresponsive owner is skipped
 	f.owners.markUnresponsive(first, time.Now().Add(-unresponsiveFor))
-	is.Equal(owner(), first) // for a while
+	is.Equal(owner(), first) // but only for unresponsiveFor
 	for i := range all {
 		all[i].MayOwn = all[i].Address != first
 	}
 	f.SetInstances(all)
-	is.Equal(owner(), second) // the rest keep their order
+	is.Equal(owner(), second) // the others keep their order
 }
 
-// Instances that have more processor time own more.
-func TestOwnersHaveTheProcessorTimeForIt(t *testing.T) {
+// Instances with more processor time own more shards.
+func TestOwnershipIsWeightedByProcessorTime(t *testing.T) {
 	is := is.New(t)
 	list := []Instance{{Address: "small", Cores: 0.4, MayOwn: true}, {Address: "large", Cores: 0.8, MayOwn: true}}
 	large := 0
@@ -137,21 +138,22 @@
 	is.True(large > 900 && large < 980) // 16 of 17
 }
 
-// An instance that reaches no owner schedules for itself: cut off, it serves what it can.
-func TestWithoutAnOwnerInReachAnInstanceDecidesItself(t *testing.T) {
+// An instance that can reach no owner decides locally, so that it serves what it can during a network
+// partition.
+func TestInstanceWithoutReachableOwnerDecidesLocally(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(63))
-	l, problem := f.Acquire(t.Context(), generation())
+	g, problem := f.Acquire(t.Context(), generation())
 	is.True(problem == nil)
-	is.Equal(l.Owner(), "")
-	is.Equal(f.Load().Running[l.Upstream()], 1)
-	l.End(scheduler.Completed, 1)
+	is.Equal(g.Owner(), "")
+	is.Equal(f.Load().Running[g.Upstream()], 1)
+	g.End(scheduler.Completed, 1)
 	is.Equal(len(f.Load().Running), 0)
 }
 
-// A service with more upstreams than one instance is to schedule is cut into shards, and
-// one more takes its part of the others and moves nothing else.
-func TestLargeServicesHaveShards(t *testing.T) {
+// A service with more upstreams than one instance can schedule is divided into shards; an additional
+// shard takes its share of the others and moves nothing else.
+func TestLargeServiceIsSharded(t *testing.T) {
 	is := is.New(t)
 	is.Equal(shardCount(0), 1)
 	is.Equal(shardCount(shardSize), 1)
@@ -168,8 +170,8 @@
 	}
 }
 
-// After a start an instance doesn't know yet with how many it shares the budget.
-func TestAStartBringsNoRepeatsOfItsOwn(t *testing.T) {
+// After a start an instance doesn't know yet how many instances share the retry budget.
+func TestRetryBudgetIsEmptyAfterStart(t *testing.T) {
 	is := is.New(t)
 	f := New(Options{
 		Instance: "10.0.0.1:1", Limits: queue.Limits{MaxItems: 1}, Metrics: telemetry.NewMetrics(),
@@ -178,13 +180,13 @@
 	is.True(!f.RetryBudget("s").Withdraw())
 }
 
-// quotaFleet are the quotas of many instances that reach each other as reach says.
+// quotaFleet holds the quotas of several instances; reach reports which instances can reach each other.
 type quotaFleet struct {
 	quotas map[string]*Quotas
 	reach  func(from, to string) bool
 }
 
-// link is how one of them asks the others.
+// quotaLink is the QuotaClient of one instance of a quotaFleet.
 type quotaLink struct {
 	fleet *quotaFleet
 	from  string
@@ -203,9 +205,8 @@
 	l.fleet.quotas[address].ServeReturn(r)
 }
 
-// newQuotaFleet returns the quotas of so many instances, which have settled if they are of
-// any age. Each knows all
-// the others, and those that it doesn't reach as such.
+// newQuotaFleet returns the quotas of n instances, which have settled if age is positive. Each knows all
+// the others, and marks those that it can't reach as unreachable.
 func newQuotaFleet(n int, age time.Duration, reach func(from, to string) bool) *quotaFleet {
 	k := &quotaFleet{quotas: map[string]*Quotas{}, reach: reach}
 	for _, self := range instances(n) {
@@ -222,8 +223,7 @@
 	return k
 }
 
-// takeAll asks for tokens at all instances in turn until each has been refused, and returns
-// what was granted.
+// takeAll takes tokens at each instance in turn until it refuses, and returns how many were granted.
 func (k *quotaFleet) takeAll(t *testing.T, size int) (granted int) {
 	o := &routing.Organisation{Name: "crews", TokensPerSecond: 1e-3, BurstTokens: 10_000}
 	for _, q := range k.quotas {
@@ -238,15 +238,15 @@
 	return granted
 }
 
-// An organisation's bucket is at one instance, whichever its requests come to: none grants
-// a large request beside the others.
-func TestManyInstancesGrantOneQuotaTogether(t *testing.T) {
+// The bucket of an organisation is kept by one instance, whichever instance gets its requests: no other
+// one grants a large request in addition.
+func TestInstancesGrantOneQuotaTogether(t *testing.T) {
 	is := is.New(t)
 	all := newQuotaFleet(87, time.Hour, func(string, string) bool { return true })
-	is.Equal(all.takeAll(t, 7000), 7000) // a part of the burst is there at first, and one may run into debt
+	is.Equal(all.takeAll(t, 7000), 7000) // the bucket holds a share of the burst at first, and one request may take it into debt
 }
 
-func TestPartsOfAFleetThatAreCutApartKeepAQuotaTogether(t *testing.T) {
+func TestPartitionedFleetKeepsQuotaTogether(t *testing.T) {
 	is := is.New(t)
 	side := func(address string) bool { return address < "10.0.0.4" }
 	all := newQuotaFleet(60, time.Hour, func(from, to string) bool { return side(from) == side(to) })
@@ -255,9 +255,8 @@
 	is.True(granted <= 1500*105/100)
 }
 
-// An instance that has just started is asked for no tokens, though it would be the one:
-// it would refuse them.
-func TestAnInstanceThatHasJustStartedKeepsNoBuckets(t *testing.T) {
+// An instance that has just started must not become the owner of a bucket: it would refuse the requests.
+func TestUnsettledInstanceOwnsNoBuckets(t *testing.T) {
 	is := is.New(t)
 	all := instances(20)
 	for i := range all {
@@ -270,19 +269,19 @@
 	}
 	f.SetInstances(all)
 	is.Equal(f.ownersOf(quotaKey("crews"))[0], first[1])
-	is.Equal(f.ownersOf(shardKey{service: "s"})[0], fleetOf("10.0.0.1:1", instances(20)).ownersOf(shardKey{service: "s"})[0]) // shards it may own
+	is.Equal(f.ownersOf(shardKey{service: "s"})[0], fleetOf("10.0.0.1:1", instances(20)).ownersOf(shardKey{service: "s"})[0]) // it may own shards
 }
 
-// All instances have lost what they knew, and none has settled: they grant no burst, and
-// together hardly more than the rate since their start.
-func TestAFleetThatStartsGrantsNoBurst(t *testing.T) {
+// After a start of the whole fleet no instance knows earlier usage, and none has settled: they grant no
+// burst, and together hardly more than the rate since their start.
+func TestStartingFleetGrantsNoBurst(t *testing.T) {
 	is := is.New(t)
 	all := newQuotaFleet(20, 0, func(string, string) bool { return true })
-	is.Equal(all.takeAll(t, 7000), 0) // and run into no debt
+	is.Equal(all.takeAll(t, 7000), 0) // and the buckets go into no debt
 	is.Equal(all.takeAll(t, 1), 0)
 }
 
-func TestTokensGoBackToWhomTheyAreOf(t *testing.T) {
+func TestReturnedTokensGoToTheirOwner(t *testing.T) {
 	is := is.New(t)
 	all := newQuotaFleet(20, time.Hour, func(string, string) bool { return true })
 	o := &routing.Organisation{Name: "crews", TokensPerSecond: 1e-3, BurstTokens: 10_000}
@@ -297,32 +296,32 @@
 	is.True(taken != nil)
 }
 
-// What an instance granted before it knew the owner of a shard, the owner counts by
-// heartbeats alone: it is told more often until all of it has ended.
-func TestOwnersAreToldOfWhatTheyHaveNotGranted(t *testing.T) {
+// What an instance granted before it knew the owner of a shard, the owner counts by heartbeats alone: it
+// gets them more often until all of these requests have ended.
+func TestUninformedOwners(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(1))
 	f.SetInstances([]Instance{{Address: "10.0.0.1:1", Reachable: true, MayOwn: true}})
 	is.Equal(len(f.UninformedOwners()), 0)
-	l, problem := f.Acquire(t.Context(), generation())
+	g, problem := f.Acquire(t.Context(), generation())
 	is.True(problem == nil)
-	is.Equal(len(f.UninformedOwners()), 0) // it schedules by itself
+	is.Equal(len(f.UninformedOwners()), 0) // it decides locally
 	f.SetInstances([]Instance{{Address: "10.0.0.1:1", Reachable: true}, {Address: "10.0.0.2:1", Reachable: true, MayOwn: true}})
 	is.Equal(f.UninformedOwners(), []string{"10.0.0.2:1"})
-	l.End(scheduler.Completed, 1)
+	g.End(scheduler.Completed, 1)
 	is.Equal(len(f.UninformedOwners()), 0)
 }
 
-// lostSlot was granted by a peer whose link has ended.
+// lostSlot is a slot of a peer whose link has ended.
 type lostSlot struct{}
 
 func (lostSlot) Started()                 {}
 func (lostSlot) Release(peer.SlotRelease) {}
 func (lostSlot) Lost() bool               { return true }
 
-// An instance that comes to own a shard knows what it runs there by grants of the owner
-// before.
-func TestWhatRunsByGrantsOfAGoneOwnerCounts(t *testing.T) {
+// An instance that becomes the owner of a shard counts what it runs there by grants of the previous
+// owner.
+func TestCountLostGrantsOfPreviousOwner(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(1))
 	f.SetInstances([]Instance{{Address: "10.0.0.1:1", Reachable: true, MayOwn: true}})
@@ -343,14 +342,14 @@
 	is.Equal(running(), 0)
 }
 
-// An instance that was cut off may own a shard again once it is back, and must not go on
-// believing that the upstreams on the other side fail.
-func TestUpstreamsAreTestedAgainOnceAPeerIsBackInReach(t *testing.T) {
+// An instance that was partitioned off may own a shard again once it is back, and must not go on treating
+// the upstreams on the other side as failed.
+func TestOpenCircuitsAreProbedOnceAPeerIsReachableAgain(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(1))
 	other := Instance{Address: "10.0.0.2:1"}
 	f.SetInstances([]Instance{{Address: "10.0.0.1:1", Reachable: true, MayOwn: true}, other})
-	avoided := func() (n int) {
+	openCircuits := func() (n int) {
 		f.shardAt("s", 0).pool.View(func(core *scheduler.Core) {
 			for _, u := range core.Upstreams() {
 				if u.AvoidUntil.After(time.Now()) {
@@ -361,28 +360,29 @@
 		return n
 	}
 	for range 3 {
-		l, problem := f.Acquire(t.Context(), generation())
+		g, problem := f.Acquire(t.Context(), generation())
 		is.True(problem == nil)
-		l.End(scheduler.Unreachable, 0)
+		g.End(scheduler.Unreachable, 0)
 	}
-	is.Equal(avoided(), 3)
+	is.Equal(openCircuits(), 3)
 	other.Reachable = true
 	f.SetInstances([]Instance{{Address: "10.0.0.1:1", Reachable: true, MayOwn: true}, other})
-	is.Equal(avoided(), 0)
+	is.Equal(openCircuits(), 0)
 }
 
-// A lease says by which list it was granted, and is of use until its upstream leaves or is gone.
-func TestALeaseIsOfUseUntilItsUpstreamLeaves(t *testing.T) {
+// A grant names the list version by which it was made, and is usable until its upstream is leaving or
+// removed.
+func TestGrantIsUsableUntilUpstreamLeaves(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.0:1", instances(1))
-	l, problem := f.Acquire(t.Context(), generation())
+	g, problem := f.Acquire(t.Context(), generation())
 	is.True(problem == nil)
-	is.Equal(l.ListVersion(), int64(1))
-	is.NoErr(f.CheckUsable(l.Upstream()))
-	list := view.List{Version: 2, Upstreams: []view.Upstream{{ID: l.Upstream(), Service: "s", Address: "127.0.0.1:1", Slots: 9, Leaving: true}}}
+	is.Equal(g.ListVersion(), int64(1))
+	is.NoErr(f.CheckUsable(g.Upstream()))
+	list := view.List{Version: 2, Upstreams: []view.Upstream{{ID: g.Upstream(), Service: "s", Address: "127.0.0.1:1", Slots: 9, Leaving: true}}}
 	f.SetUpstreams(list)
-	is.True(errors.Is(f.CheckUsable(l.Upstream()), ErrNotUsable))
+	is.True(errors.Is(f.CheckUsable(g.Upstream()), ErrNotUsable))
 	f.SetUpstreams(view.List{Version: 3})
-	is.True(errors.Is(f.CheckUsable(l.Upstream()), ErrNotUsable))
-	l.End(scheduler.Cancelled, 0)
+	is.True(errors.Is(f.CheckUsable(g.Upstream()), ErrNotUsable))
+	g.End(scheduler.Cancelled, 0)
 }
--- a/internal/fleet/places.go
+++ b/internal/fleet/grant_limits.go
@@ -9,20 +9,20 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// assumedFleetSize is the number of instances of a fleet of which nothing is known.
+// assumedFleetSize is the number of instances assumed while none is known.
 const assumedFleetSize = 600
 
-// SetEvacuated takes the availability zones that are evacuated: their upstreams get nothing new
-// from now on, and what runs there goes on. Those of zones that are taken back count as cold, as
-// after a start.
+// SetEvacuated sets the evacuated availability zones: their upstreams get no new requests from now on,
+// and running ones continue. Upstreams of zones that are no longer evacuated count as cold, as after a
+// start.
 func (f *Fleet) SetEvacuated(zones []string) {
 	f.mu.Lock()
-	takenBack := slices.DeleteFunc(slices.Clone(f.evacuated), func(zone string) bool { return slices.Contains(zones, zone) })
+	restored := slices.DeleteFunc(slices.Clone(f.evacuated), func(zone string) bool { return slices.Contains(zones, zone) })
 	f.evacuated = zones
 	now := time.Now()
 	updated := memberUpdates{}
 	for _, u := range f.upstreams {
-		if slices.Contains(takenBack, u.Zone) {
+		if slices.Contains(restored, u.Zone) {
 			u.extendCold(now, f.services[u.Service].coldStart.For)
 		}
 		f.refreshUsability(u, updated)
@@ -32,7 +32,7 @@
 	pollShards(shards)
 }
 
-// SetServices takes what the configuration says of services.
+// SetServices applies the cold-start settings of the services in the configuration.
 func (f *Fleet) SetServices(services map[string]*routing.Service) {
 	f.mu.Lock()
 	for name, s := range services {
@@ -46,17 +46,17 @@
 	f.updateGrantLimits()
 }
 
-// updateGrantLimits lets each shard know how much of what cold upstreams bear this instance may grant, and
-// send what it has room for.
+// updateGrantLimits passes to each shard the share of the rates of cold or limited upstreams that this
+// instance may grant, and lets it grant slots to waiting requests.
 func (f *Fleet) updateGrantLimits() {
-	reached, limited := f.reachability(), f.limits.Count() > 0
+	base, limited := f.reachability(), f.limits.Count() > 0
 	for _, s := range f.all() {
 		f.mu.Lock()
 		coldStart := f.serviceOf(s.service).coldStart
 		f.mu.Unlock()
-		reach := reached
+		reach := base
 		if coldStart.Limits() || limited {
-			reach.Asked = f.isQueried(s, reached.Asked)
+			reach.Asked = f.isQueried(s, base.Asked)
 		}
 		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 			core.SetColdStart(coldStart, reach)
@@ -65,8 +65,9 @@
 	}
 }
 
-// reachability says which part of what upstreams bear this instance may grant. One that has just started, or has
-// heard of nobody, doesn't know which part of the fleet it is, and isn't asked by others.
+// reachability returns the share of the rates of upstreams that this instance may grant. An instance that
+// has just started, or knows no other instance yet, doesn't know its share of the fleet and gets no
+// requests from others.
 func (f *Fleet) reachability() scheduler.Reach {
 	if f.slots == nil {
 		return scheduler.Reach{Asked: true, Fleet: 1}
@@ -80,7 +81,7 @@
 	return scheduler.Reach{Asked: f.Settled(), Zones: reachableZoneShares(instances), Fleet: f.reachableShare(), Alone: f.ownShare()}
 }
 
-// ownShare is the part of all instances that this one is.
+// ownShare returns the share of this instance among all instances.
 func (f *Fleet) ownShare() float64 {
 	if f.slots == nil {
 		return 1
@@ -95,8 +96,8 @@
 	return 1 / float64(max(size, known))
 }
 
-// isQueried tells whether the others ask this instance for slots of a shard, where they ask it at all: it is one
-// of the first that may own the shard.
+// isQueried reports whether other instances request slots of a shard from this one, if they request any
+// from it: it is one of the first that may own the shard.
 func (f *Fleet) isQueried(s *shard, atAll bool) bool {
 	f.mu.Lock()
 	instances := f.instances
@@ -107,23 +108,23 @@
 	return f.owners.isCandidate(shardKey{service: s.service, index: s.index}, instances, f.o.Instance)
 }
 
-// reachableZoneShares returns the part of each availability zone's instances that is within reach.
+// reachableZoneShares returns the share of the instances of each availability zone that are reachable.
 func reachableZoneShares(instances []Instance) map[string]float64 {
-	all, reached := map[string]int{}, map[string]int{}
+	all, reachable := map[string]int{}, map[string]int{}
 	for _, i := range instances {
 		all[i.Zone]++
 		if i.Reachable {
-			reached[i.Zone]++
+			reachable[i.Zone]++
 		}
 	}
 	out := make(map[string]float64, len(all))
 	for zone, n := range all {
-		out[zone] = float64(reached[zone]) / float64(n)
+		out[zone] = float64(reachable[zone]) / float64(n)
 	}
 	return out
 }
 
-// ZoneOf returns the availability zone of an upstream of the list, "" of one that isn't on it.
+// ZoneOf returns the availability zone of an upstream, empty if it is not on the list.
 func (f *Fleet) ZoneOf(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,7 +134,7 @@
 	return ""
 }
 
-// ColdUpstreams returns how many upstreams are believed to be cold.
+// ColdUpstreams returns how many upstreams are considered cold.
 func (f *Fleet) ColdUpstreams() (n int) {
 	now := time.Now()
 	for _, s := range f.all() {
@@ -142,8 +143,8 @@
 	return n
 }
 
-// LimitedGrants returns how often waiting work was held back since its upstreams may not be granted
-// more in so short a time.
+// LimitedGrants returns how often a waiting request was delayed only because its upstreams had reached
+// their grant limits.
 func (f *Fleet) LimitedGrants() (n int64) {
 	for _, s := range f.all() {
 		s.pool.View(func(core *scheduler.Core) { n += core.Held() })
--- /dev/null
+++ b/internal/fleet/grants.go
@@ -0,0 +1,165 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/tacktally/tacktally/internal/peer"
+	"github.com/tacktally/tacktally/internal/scheduler"
+	"github.com/tacktally/tacktally/internal/view"
+)
+
+// ErrNotUsable means that a granted upstream may not be sent to, by the list of this instance.
+var ErrNotUsable = errors.New("the upstream is not usable")
+
+// The reasons for which an upstream is not usable.
+var (
+	// ErrNotListed means that the upstream isn't on the list of this instance.
+	ErrNotListed = fmt.Errorf("%w: it is not on the list", ErrNotUsable)
+	// ErrLeaving means that the upstream has announced that it is leaving.
+	ErrLeaving = fmt.Errorf("%w: it is leaving", ErrNotUsable)
+	// ErrLimitUnknown means that the granting instance didn't know of the limit that the upstream
+	// advertises.
+	ErrLimitUnknown = fmt.Errorf("%w: it advertises a limit that the grant does not account for", ErrNotUsable)
+	// ErrEvacuated means that operators evacuate the availability zone of the upstream.
+	ErrEvacuated = fmt.Errorf("%w: its availability zone is evacuated", ErrNotUsable)
+)
+
+// unusableReason returns why an upstream of the list gets no new requests, nil if it does get them. The
+// caller holds the lock.
+func (f *Fleet) unusableReason(u view.Upstream) error {
+	_, announced := f.leavingNotices[processName(u.ID, u.Born)]
+	switch {
+	case u.Leaving, announced:
+		return ErrLeaving
+	case slices.Contains(f.evacuated, u.Zone):
+		return ErrEvacuated
+	default:
+		return nil
+	}
+}
+
+// CheckUsable returns nil if a granted upstream may be sent to by the list of this instance, and the
+// reason otherwise: the granting instance may have older information.
+func (f *Fleet) CheckUsable(id string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	u := f.upstreams[id]
+	switch {
+	case u == nil:
+		return ErrNotListed
+	case u.unusable == nil && f.backoffs.Check(time.Now(), id) != nil:
+		return ErrBackingOff
+	default:
+		return u.unusable
+	}
+}
+
+// listVersion returns the version of the list from which upstreams are selected.
+func (f *Fleet) listVersion() int64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.version
+}
+
+// Grant is the right to send one request to an upstream. End is called exactly once.
+type Grant interface {
+	// Upstream returns the ID of the upstream.
+	Upstream() string
+	// Owner returns the granting instance, empty for this one.
+	Owner() string
+	// ListVersion returns the version of the list by which the upstream was granted.
+	ListVersion() int64
+	// Limited reports whether the granting instance knew that the upstream advertises a limit.
+	Limited() bool
+	// Predicted returns the predicted time to the first token.
+	Predicted() time.Duration
+	// FirstToken and RecordActivity record that the first token, or any other part of the response, has
+	// arrived.
+	FirstToken()
+	RecordActivity()
+	// End releases the slot and reports how the request ended, with its number of output tokens.
+	End(e scheduler.Ending, output int)
+}
+
+// localGrant is a Grant of this instance.
+type localGrant struct {
+	shard       *shard
+	grant       *scheduler.Grant
+	listVersion int64
+}
+
+func (g *localGrant) Upstream() string                   { return g.grant.Upstream.ID }
+func (g *localGrant) Owner() string                      { return "" }
+func (g *localGrant) ListVersion() int64                 { return g.listVersion }
+func (g *localGrant) Limited() bool                      { return g.grant.Limited }
+func (g *localGrant) Predicted() time.Duration           { return g.grant.Predicted() }
+func (g *localGrant) FirstToken()                        { g.shard.pool.FirstToken(g.grant) }
+func (g *localGrant) RecordActivity()                    { g.grant.Upstream.Heard(time.Now()) }
+func (g *localGrant) End(e scheduler.Ending, output int) { g.shard.pool.End(g.grant, e, output) }
+
+// grantedSlot is a slot that a peer granted. *peer.Slot implements it.
+type grantedSlot interface {
+	Started()
+	Release(r peer.SlotRelease)
+	// Lost reports whether the peer no longer counts the slot.
+	Lost() bool
+}
+
+// peerGrant is a Grant of the owner of a shard, another instance.
+type peerGrant struct {
+	owner     string
+	slotGrant peer.SlotGrant
+	slot      grantedSlot
+	tracked   *peerGrants
+}
+
+func (g *peerGrant) Upstream() string         { return g.slotGrant.Upstream }
+func (g *peerGrant) Owner() string            { return g.owner }
+func (g *peerGrant) ListVersion() int64       { return g.slotGrant.ListVersion }
+func (g *peerGrant) Limited() bool            { return g.slotGrant.Limited }
+func (g *peerGrant) Predicted() time.Duration { return g.slotGrant.Predicted }
+func (g *peerGrant) FirstToken()              { g.slot.Started() }
+func (g *peerGrant) RecordActivity()          {} // the owner gets first tokens and results only
+func (g *peerGrant) End(e scheduler.Ending, output int) {
+	g.tracked.remove(g)
+	g.slot.Release(peer.SlotRelease{Ending: uint8(e), Output: output})
+}
+
+// peerGrants holds the unfinished grants of other instances. Safe for concurrent use.
+type peerGrants struct {
+	mu     sync.Mutex
+	grants map[*peerGrant]struct{}
+}
+
+func (a *peerGrants) add(g *peerGrant) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.grants == nil {
+		a.grants = map[*peerGrant]struct{}{}
+	}
+	a.grants[g] = struct{}{}
+}
+
+func (a *peerGrants) remove(g *peerGrant) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.grants, g)
+}
+
+// lost counts, by upstream, the running requests whose grant no owner counts any more, since the link to
+// the owner has ended. The current owner learns of them from heartbeats.
+func (a *peerGrants) lost() map[string]int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	out := map[string]int{}
+	for g := range a.grants {
+		if g.slot.Lost() {
+			out[g.Upstream()]++
+		}
+	}
+	return out
+}
--- a/internal/fleet/instances.go
+++ b/internal/fleet/instances.go
@@ -8,23 +8,23 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// Instance is one of those that share the upstreams.
+// Instance is one of the instances that share the upstreams.
 type Instance struct {
-	// Address for peers.
+	// Address is the peer address.
 	Address string
-	// Zone is its availability zone, empty where it isn't known.
+	// Zone is the availability zone, empty if unknown.
 	Zone string
-	// Cores is the processor time that it has, in cores; 0 is unknown.
+	// Cores is the processor time of the instance, in cores; 0 if unknown.
 	Cores float64
-	// Reachable tells whether its link is up.
+	// Reachable reports whether the link to the instance is up.
 	Reachable bool
-	// MayOwn tells whether it may schedule for others: it is within reach and stays.
+	// MayOwn reports whether the instance may own shards: it is reachable and not leaving.
 	MayOwn bool
-	// Settled tells whether it has run long enough to know the others.
+	// Settled reports whether the instance has run long enough to know the others.
 	Settled bool
 }
 
-// SetInstances takes the instances that share the upstreams, this one included.
+// SetInstances sets the instances that share the upstreams, including this one.
 func (f *Fleet) SetInstances(instances []Instance) {
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.Address, b.Address) })
 	if f.setInstances(instances) {
@@ -33,9 +33,9 @@
 	f.updateGrantLimits()
 }
 
-// probeOpenCircuits lets upstreams that are avoided be tested now. An instance that was cut off
-// believes that those on the other side fail; it may own their shard again as soon as it is
-// back, and would refuse all requests to them for as long as it avoids them.
+// probeOpenCircuits lets one request probe each upstream whose circuit is open. An instance that was
+// partitioned off has opened the circuits of upstreams on the other side; it may own their shard again as
+// soon as it is back, and would refuse all requests to them while the circuits are open.
 func (f *Fleet) probeOpenCircuits() {
 	f.o.Log.Info().Str("event", "avoided_tested").Int("instances_in_reach", f.ReachableInstances()).Msg("")
 	for _, s := range f.all() {
@@ -43,20 +43,20 @@
 	}
 }
 
-// setInstances takes the instances and tells whether one of them came within reach.
-func (f *Fleet) setInstances(instances []Instance) (reached bool) {
+// setInstances sets the instances and reports whether one of them became reachable.
+func (f *Fleet) setInstances(instances []Instance) (becameReachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if slices.Equal(instances, f.instances) {
 		return false
 	}
-	reached = countReachable(instances) > countReachable(f.instances)
+	becameReachable = countReachable(instances) > countReachable(f.instances)
 	f.instances = instances
 	for _, s := range f.services {
 		f.updateRetryBudgets(s)
 	}
 	f.owners.invalidate()
-	return reached
+	return becameReachable
 }
 
 func countReachable(instances []Instance) (n int) {
@@ -68,7 +68,7 @@
 	return n
 }
 
-// ReachableInstances returns how many instances may schedule for others, this one included.
+// ReachableInstances returns how many instances may own shards, including this one.
 func (f *Fleet) ReachableInstances() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,14 +81,14 @@
 	return n
 }
 
-// reachableShare is the part of the known instances that are within reach, this one included.
+// reachableShare returns the share of the known instances that are reachable, including this one.
 func (f *Fleet) reachableShare() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return float64(countReachable(f.instances)) / float64(len(f.instances))
 }
 
-// Settled tells whether this instance has run long enough to know the others.
+// Settled reports whether this instance has run long enough to know the others.
 func (f *Fleet) Settled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/ownword.go
+++ b/internal/fleet/leaving.go
@@ -9,44 +9,44 @@
 	"github.com/tacktally/tacktally/internal/gossip"
 )
 
-// An upstream that leaves says so in its answers, too, and its entry may say so much later: while the
-// source is away its answers are the only word. It holds for the process that said it, whatever is
-// published of that process then, since what is published may have been written before.
+// An upstream that leaves announces so in its responses, too, since its list entry may be updated much
+// later: while the source is away, its responses are the only notice. A notice holds for the process that
+// sent it, whatever is published for that process afterwards, since the published entry may be older.
 
-// processStateTTL is how long the word is kept of a process that isn't on the list any more: its entry may come
-// back, around an outage.
+// processStateTTL is how long notices, backoffs and limits are kept for a process that is no longer on
+// the list: its entry may come back after an outage of the source.
 const processStateTTL = time.Minute
 
 const (
-	// recentFor is how long each message to peers repeats a word that is new; others are told in turn.
+	// recentFor is how long each message to peers repeats a new notice; older ones are sent round-robin.
 	recentFor = 2 * time.Second
-	// maxRecent and inTurn bound the words that one message tells.
+	// maxRecent and olderPerMessage bound the notices in one message.
 	maxRecent       = 128
 	olderPerMessage = 8
 )
 
-// leavingNotice is what a process has said of its leaving.
+// leavingNotice is the announcement of a process that it is leaving.
 type leavingNotice struct {
 	received   time.Time
-	lastListed time.Time // when it was on the list last
+	lastListed time.Time // when the process was last on the list
 }
 
-// RecordLeavingNotice takes the word of an upstream of the list, in an answer, that it leaves. It returns whether
-// that is news for peers.
+// RecordLeavingNotice records that an upstream announced in a response that it is leaving. It reports
+// whether there is an update for peers.
 func (f *Fleet) RecordLeavingNotice(id string) bool {
 	process := f.ProcessOf(id)
 	return process != "" && f.addLeavingNotice("its own word", process)
 }
 
-// MergeLeavingNotices takes what a peer tells of processes that have said that they leave.
-func (f *Fleet) MergeLeavingNotices(peer string, processes []string) (news bool) {
+// MergeLeavingNotices records leaving notices that a peer sent and reports whether any of them is new.
+func (f *Fleet) MergeLeavingNotices(peer string, processes []string) (changed bool) {
 	for _, process := range processes {
-		news = f.addLeavingNotice("peer "+peer, process) || news
+		changed = f.addLeavingNotice("peer "+peer, process) || changed
 	}
-	return news
+	return changed
 }
 
-// addLeavingNotice sends nothing more to a process of the list.
+// addLeavingNotice stops sending to a process of the list and reports whether its notice is new.
 func (f *Fleet) addLeavingNotice(from, process string) bool {
 	f.mu.Lock()
 	_, known := f.leavingNotices[process]
@@ -67,36 +67,38 @@
 	return true
 }
 
-// AllLeavingNotices returns the processes that have said that they leave, in order, for a peer that may know none
-// of them.
+// AllLeavingNotices returns all processes with a leaving notice, sorted, for a peer that may know none of
+// them.
 func (f *Fleet) AllLeavingNotices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.leavingNotices))
 }
 
-// NextLeavingNotices returns the processes of which peers are to be told now that they have said that they leave: what is
-// new, and of the rest some in turn, so that one that knows nothing hears of all.
+// NextLeavingNotices returns the processes with a leaving notice for the next message to peers: the
+// recent ones, and a few of the older ones round-robin, so that a peer that has just started receives all
+// of them in the end.
 func (f *Fleet) NextLeavingNotices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	var fresh, rest []string
+	var recent, older []string
 	for process, w := range f.leavingNotices {
 		if now.Sub(w.received) < recentFor {
-			fresh = append(fresh, process)
+			recent = append(recent, process)
 		} else {
-			rest = append(rest, process)
+			older = append(older, process)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b string) int {
+	slices.SortFunc(recent, func(a, b string) int {
 		return cmp.Or(f.leavingNotices[b].received.Compare(f.leavingNotices[a].received), cmp.Compare(a, b))
 	})
-	slices.Sort(rest)
-	return gossip.Select(fresh, rest, maxRecent, olderPerMessage, &f.noticesSent)
+	slices.Sort(older)
+	return gossip.Select(recent, older, maxRecent, olderPerMessage, &f.noticesSent)
 }
 
-// pruneProcessState drops the word of processes that have been off the list for long. The caller holds the lock.
+// pruneProcessState drops notices, backoffs and limits of processes that have been off the list for
+// longer than processStateTTL. The caller holds the lock.
 func (f *Fleet) pruneProcessState(now time.Time) {
 	for process, w := range f.leavingNotices {
 		switch {
--- a/internal/fleet/ownword_test.go
+++ b/internal/fleet/leaving_test.go
@@ -11,9 +11,9 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// What an upstream says of itself in an answer holds for that process: an entry that was written before
-// and comes after doesn't undo it, and another process under its ID hasn't said it.
-func TestTheWordOfAProcessThatItLeavesHolds(t *testing.T) {
+// A leaving notice holds for the process that sent it: an older list entry that arrives later must not
+// undo it, and it doesn't apply to another process under the same ID.
+func TestLeavingNoticeHoldsForItsProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := fleetOf("10.0.0.9:1", instances(1))
@@ -25,25 +25,25 @@
 		list(1, a, b)
 		is.NoErr(f.CheckUsable("a"))
 		is.True(f.RecordLeavingNotice("a"))
-		is.True(!f.RecordLeavingNotice("a")) // no news
+		is.True(!f.RecordLeavingNotice("a")) // known already
 		is.Equal(f.NextLeavingNotices(), []string{"a@1"})
-		list(2, a, b) // ready, as before
+		list(2, a, b) // unchanged entry
 		is.True(errors.Is(f.CheckUsable("a"), ErrLeaving))
 		is.NoErr(f.CheckUsable("b"))
 		list(3, b)
 		<-time.After(processStateTTL) // virtual time
 		list(4, a, b)
-		is.True(errors.Is(f.CheckUsable("a"), ErrLeaving)) // its entry is back, around an outage
+		is.True(errors.Is(f.CheckUsable("a"), ErrLeaving)) // its entry is back after an outage of the source
 		a.Born = 2
 		list(5, a, b)
 		is.NoErr(f.CheckUsable("a"))
 		<-time.After(processStateTTL + time.Second)
 		list(6, a, b)
-		is.Equal(len(f.NextLeavingNotices()), 0) // nothing is kept for ever
+		is.Equal(len(f.NextLeavingNotices()), 0) // pruned
 	})
 }
 
-func TestPeersTellWhoHasSaidThatItLeaves(t *testing.T) {
+func TestMergeLeavingNotices(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.9:1", instances(1))
 	f.SetUpstreams(view.List{Version: 1, Upstreams: []view.Upstream{{ID: "a", Service: "app", Address: "10.0.0.1:80", Slots: 4, Born: 3}}})
@@ -54,9 +54,9 @@
 	is.True(errors.Is(f.CheckUsable("a"), ErrLeaving))
 }
 
-// A message to peers is small however many have said that they leave: it repeats what is new, and one that
-// hears nothing but messages hears of all in the end.
-func TestPeersHearOfAllThatLeaveAFewAtATime(t *testing.T) {
+// A message to peers is small however many leaving notices there are: it repeats recent ones, and a peer
+// that receives nothing else gets all of them in the end.
+func TestNextLeavingNoticesIsBoundedAndCoversAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSizedFleet(300, 0)
@@ -67,22 +67,22 @@
 		is.Equal(len(s.fleet.AllLeavingNotices()), 200)
 		<-time.After(recentFor)
 		is.True(s.fleet.RecordLeavingNotice(s.list[250].ID))
-		heard := map[string]bool{}
+		received := map[string]bool{}
 		for range 200/olderPerMessage + 1 {
-			told := s.fleet.NextLeavingNotices()
-			is.Equal(len(told), olderPerMessage+1)
-			is.Equal(told[0], processName(s.list[250].ID, s.list[250].Born)) // the new one each time
-			for _, process := range told {
-				heard[process] = true
+			notices := s.fleet.NextLeavingNotices()
+			is.Equal(len(notices), olderPerMessage+1)
+			is.Equal(notices[0], processName(s.list[250].ID, s.list[250].Born)) // the new one each time
+			for _, process := range notices {
+				received[process] = true
 			}
 		}
-		is.Equal(len(heard), 201)
+		is.Equal(len(received), 201)
 	})
 }
 
-// An entry that lapses around an outage comes back: its process has asked for rest all the same. Another process under
-// the ID hasn't.
-func TestARestOutlivesTheEntryOfItsUpstream(t *testing.T) {
+// An entry that lapses during an outage comes back: the backoff of its process still applies, but not to
+// another process under the ID.
+func TestBackoffOutlivesListEntry(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(1))
 	entry := view.Upstream{ID: "i-7", Service: "s", Address: "127.0.0.1:1", Slots: 9}
--- a/internal/fleet/list_test.go
+++ b/internal/fleet/list_test.go
@@ -2,15 +2,15 @@
 
 import "github.com/tacktally/tacktally/internal/view"
 
-// SetUpstreams takes a whole list, as the changes that lead to it.
+// SetUpstreams applies a whole list, as the change from the current one.
 func (f *Fleet) SetUpstreams(list view.List) {
 	change := view.ListChange{Version: list.Version, Changed: list.Upstreams}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, u := range list.Upstreams {
-		named[u.ID] = true
+		listed[u.ID] = true
 	}
 	for id := range f.upstreams {
-		if !named[id] {
+		if !listed[id] {
 			change.Gone = append(change.Gone, id)
 		}
 	}
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -8,17 +8,17 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// peerLoad is what another instance has told of its load, and the shards that know it.
+// peerLoad is the load that another instance has reported, and the shards to which it was applied.
 type peerLoad struct {
 	scheduler.Load
 	shards map[*shard]bool
 }
 
-// SetPeerLoad takes what another instance has told of its load; the zero Load forgets
-// the instance. Only the shards that it concerns, now or by what was told before, look at it.
+// SetPeerLoad sets the load that another instance has reported; the zero Load removes the instance. Only
+// the shards that the new or the previous load concerns are updated.
 func (f *Fleet) SetPeerLoad(instance string, l scheduler.Load) {
 	f.mu.Lock()
-	concerned := f.peerLoads[instance].shards
+	previous := f.peerLoads[instance].shards
 	now := f.shardsWith(l)
 	if len(now) > 0 {
 		f.peerLoads[instance] = peerLoad{Load: l, shards: now}
@@ -29,7 +29,7 @@
 	for s := range now {
 		s.setPeerLoad(instance, l)
 	}
-	for s := range concerned {
+	for s := range previous {
 		if !now[s] {
 			s.setPeerLoad(instance, scheduler.Load{})
 		}
@@ -43,7 +43,7 @@
 	})
 }
 
-// shardsWith returns the shards of the upstreams that a load names. The caller holds the lock.
+// shardsWith returns the shards of the upstreams in a load. The caller holds the lock.
 func (f *Fleet) shardsWith(l scheduler.Load) map[*shard]bool {
 	out := map[*shard]bool{}
 	for _, by := range []map[string]int{l.Pending, l.Running} {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// reapplyPeerLoads tells shards what other instances have told, after upstreams were assigned to them anew.
+// reapplyPeerLoads sets the loads of other instances again, after upstreams were moved between shards.
 func (f *Fleet) reapplyPeerLoads() {
 	f.mu.Lock()
 	others := maps.Clone(f.peerLoads)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Load returns the load at all upstreams that have any of what this instance has
-// granted, and of what it runs by grants of instances that are gone.
+// Load returns the load that this instance has granted, by upstream, plus its running requests whose
+// granting owner is no longer connected.
 func (f *Fleet) Load() scheduler.Load {
 	total := scheduler.Load{Pending: map[string]int{}, Running: f.peerGrants.lost()}
 	for _, s := range f.all() {
@@ -85,23 +85,24 @@
 	return total
 }
 
-// lostGrantsKey names this instance's own load beside that of the others, see CountLost.
+// lostGrantsKey is the key under which this instance's lost grants are set like the load of another
+// instance, see CountLostGrants.
 const lostGrantsKey = "lost here"
 
-// CountLostGrants counts, in this instance's own shards, what it runs by grants of owners that are
-// gone: nobody else counts that where it owns the shard now.
+// CountLostGrants counts, in the shards of this instance, its running requests whose granting owner is no
+// longer connected: where this instance owns the shard now, no other instance reports them.
 func (f *Fleet) CountLostGrants() {
 	lost := f.peerGrants.lost()
 	some := len(lost) > 0
-	if before := f.lostCounted.Swap(some); some || before {
+	if previous := f.lostCounted.Swap(some); some || previous {
 		f.SetPeerLoad(lostGrantsKey, scheduler.Load{Running: lost})
 	}
 }
 
-// UninformedOwners returns the owners of shards in which requests run that they haven't granted:
-// by this instance's own grants, from before it knew them or while it couldn't reach them,
-// or by those of an owner that is gone. They count them by heartbeats alone, as old as
-// those are, and take slots for taken that have become free.
+// UninformedOwners returns the owners of shards in which this instance runs requests that they haven't
+// granted: by its own grants, from before it knew them or while it couldn't reach them, or by those of an
+// owner that is no longer connected. These owners count such requests by heartbeats alone, and until the
+// next one they take slots for occupied that have become free.
 func (f *Fleet) UninformedOwners() []string {
 	f.mu.Lock()
 	lost := f.shardsWith(scheduler.Load{Running: f.peerGrants.lost()})
@@ -119,7 +120,7 @@
 	return out
 }
 
-// hasRunning tells whether any request runs in the shard by this instance's own grants.
+// hasRunning reports whether any request runs in the shard by this instance's own grants.
 func (s *shard) hasRunning() (runs bool) {
 	s.pool.View(func(core *scheduler.Core) { runs = core.Running() > 0 })
 	return runs
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -12,53 +12,52 @@
 )
 
 const (
-	// shardSize is the number of upstreams up to which a service has one shard: what
-	// one instance schedules without becoming the bottleneck. With more there are as
-	// many shards as keep each below it.
+	// shardSize is the maximum number of upstreams of one shard: what one instance can schedule without
+	// becoming the bottleneck. A service with more upstreams gets as many shards as needed.
 	shardSize = 128
-	// maxOwners is how many instances are asked for a slot in turn, before this one
-	// decides by itself.
+	// maxOwners is how many instances a slot is requested from, one after the other, before this instance
+	// decides on its own.
 	maxOwners = 2
-	// ackTimeout is how long an owner may take to say that it has a request. Its
-	// processor may be held back for a tenth of a second.
+	// ackTimeout is how long an owner may take to acknowledge a request. Its processor may be throttled
+	// for 100 ms.
 	ackTimeout = 150 * time.Millisecond
-	// unresponsiveFor is how long an owner that said nothing isn't asked again.
+	// unresponsiveFor is how long an owner that didn't reply gets no further requests.
 	unresponsiveFor = time.Second
-	// coresExponent makes large instances own more than their part: one with twice the
-	// processor time sixteen times as often. On loaded days an owner spent 0.06 cores
-	// where others spent 0.02, and the smallest instances have 0.19.
+	// coresExponent gives large instances a more than proportional share of ownership: one with twice the
+	// processor time owns 16 times as many shards. Under high load an owner spends 0.06 cores where
+	// others spend 0.02, and the smallest instances have 0.19.
 	coresExponent = 4
-	// assumedCores is counted for an instance that doesn't say.
+	// assumedCores is the processor time assumed for an instance that doesn't report it.
 	assumedCores = 1
 )
 
-// owners says which instance schedules a shard. Each instance works it out by itself from
-// the instances within its reach (weighted rendezvous hashing), so nothing is agreed on:
-// while views differ, a shard has two owners, and its upstreams get more than they have
-// slots for, which they queue. Safe for concurrent use.
+// owners determines which instance schedules a shard. Each instance computes it on its own from the
+// reachable instances (weighted rendezvous hashing), without any agreement: while views differ, a shard
+// has two owners, and its upstreams get more requests than they have slots for, which they queue. Safe
+// for concurrent use.
 type owners struct {
 	mu           sync.Mutex
 	ranked       map[shardKey][]string // addresses, the owner first
-	unresponsive map[string]time.Time  // when they were found to be
-	lastOwner    map[shardKey]string   // as logged last
+	unresponsive map[string]time.Time  // since when, by address
+	lastOwner    map[shardKey]string   // as last logged
 }
 
-// shardKey names a shard, or a bucket of tokens.
+// shardKey identifies a shard, or a group of token buckets or quarantined requests.
 type shardKey struct {
 	service string
 	index   int
-	// settledOnly: only instances that have settledOnly may own it.
+	// settledOnly restricts ownership to settled instances.
 	settledOnly bool
 }
 
-// invalidate drops the ranking after a change of instances.
+// invalidate drops the cached rankings after a change of instances.
 func (o *owners) invalidate() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ranked = nil
 }
 
-// markUnresponsive notes that an instance said nothing when it was asked.
+// markUnresponsive records that an instance didn't reply to a request.
 func (o *owners) markUnresponsive(address string, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -68,7 +67,8 @@
 	o.unresponsive[address] = now
 }
 
-// isCandidate tells whether an instance is one of the isCandidate that others ask for a slot of a shard.
+// isCandidate reports whether an instance is one of the first maxOwners that other instances request
+// slots of a shard from.
 func (o *owners) isCandidate(k shardKey, instances []Instance, address string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -76,7 +76,7 @@
 	return slices.Contains(ranked[:min(maxOwners, len(ranked))], address)
 }
 
-// ranking returns the instances that may own a shard, in order. The caller holds the lock.
+// ranking returns the instances that may own a shard, the first owner first. The caller holds the lock.
 func (o *owners) ranking(k shardKey, instances []Instance) []string {
 	ranked, known := o.ranked[k]
 	if !known {
@@ -89,7 +89,7 @@
 	return ranked
 }
 
-// candidates returns the instances to ask for a slot candidates a shard, in order.
+// candidates returns the instances to request a slot of a shard from, in order.
 func (o *owners) candidates(k shardKey, instances []Instance, now time.Time) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,7 +106,7 @@
 	return out
 }
 
-// recordOwner tells whether the owner of a shard isn't the one that it was.
+// recordOwner records the owner of a shard and reports whether it has changed.
 func (o *owners) recordOwner(k shardKey, owner string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -120,8 +120,7 @@
 	return true
 }
 
-// rank orders the instances that may own a shard. Those with more processor time come
-// first far more often.
+// rank orders the instances that may own a shard, weighted by processor time, see coresExponent.
 func rank(k shardKey, instances []Instance) []string {
 	type scored struct {
 		address string
@@ -145,22 +144,22 @@
 	return out
 }
 
-// uniform maps a text to (0, 1).
+// uniform hashes a string to (0, 1).
 func uniform(text string) float64 {
 	const bits = 53 // of a float's fraction
 	return (float64(xxhash.Sum64String(text)>>(64-bits)) + 0.5) / (1 << bits)
 }
 
-// shardCount is the number of shards of so many upstreams.
+// shardCount returns the number of shards for the given number of upstreams.
 func shardCount(upstreams int) int { return max((upstreams+shardSize-1)/shardSize, 1) }
 
-// shardFor returns the shard of an upstream, by rendezvous hashing: one shard more takes
-// its part of the others and moves nothing else.
+// shardFor returns the shard of an upstream, by rendezvous hashing: an additional shard takes its share
+// of the upstreams from the others and moves nothing else.
 func shardFor(id string, shards int) int {
-	drawn := xxhash.Sum64String(id)
+	hash := xxhash.Sum64String(id)
 	best, highest := 0, uint64(0)
 	for i := range shards {
-		if h := mix(drawn ^ mix(uint64(i)+1)); h > highest {
+		if h := mix(hash ^ mix(uint64(i)+1)); h > highest {
 			best, highest = i, h
 		}
 	}
--- a/internal/fleet/homes_test.go
+++ b/internal/fleet/preferred_shards_test.go
@@ -11,70 +11,71 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// An instance with few requests meets few owners, however many shards a service has: the same ones again and
-// again, so that the links to them stay up.
-func TestAnInstanceAsksFewShards(t *testing.T) {
+// An instance with few requests sends to few owners, however many shards a service has, and always to the
+// same, so that the links to them stay up.
+func TestInstanceUsesFewShards(t *testing.T) {
 	for _, upstreams := range []int{60, 3_000, 6_000} {
 		t.Run(fmt.Sprint(upstreams), func(t *testing.T) {
 			is := is.New(t)
 			s := newSizedFleet(upstreams, 0)
 			is.Equal(len(s.fleet.all()), shardCount(upstreams))
-			asked := map[*shard]bool{}
+			used := map[*shard]bool{}
 			for range 200 {
-				asked[s.fleet.services["s"].selectShard(time.Now())] = true
+				used[s.fleet.services["s"].selectShard(time.Now())] = true
 			}
-			is.Equal(len(asked), min(preferredShardCount, shardCount(upstreams)))
+			is.Equal(len(used), min(preferredShardCount, shardCount(upstreams)))
 		})
 	}
 }
 
-// All shards get their part of the instances, and one shard more changes few instances' choice.
-func TestShardsGetLikeNumbersOfInstances(t *testing.T) {
+// Each shard is preferred by a similar number of instances, and an additional shard changes the
+// preference of few.
+func TestPreferredShardsAreBalanced(t *testing.T) {
 	is := is.New(t)
 	const instances, shards = 1_200, 24
-	asked := make([]int, shards)
+	used := make([]int, shards)
 	moved := 0
 	for i := range instances {
 		address := fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
 		before, after := preferredShardsOf(address, "s", shards), preferredShardsOf(address, "s", shards+1)
-		for _, home := range before {
-			asked[home]++
+		for _, shard := range before {
+			used[shard]++
 		}
 		if before[0] != after[0] || before[1] != after[1] {
 			moved++
 		}
 	}
 	mean := instances * preferredShardCount / shards
-	for _, n := range asked {
+	for _, n := range used {
 		is.True(n > mean*6/10 && n < mean*14/10)
 	}
 	is.True(moved < 3*preferredShardCount*instances/(shards+1)/2)
 }
 
-// While the shards that an instance asks first have no room, it asks all.
-func TestAnInstanceWhoseShardsAreFullAsksAll(t *testing.T) {
+// While the preferred shards of an instance have no free slot, it uses all.
+func TestInstanceUsesAllShardsWhilePreferredOnesAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSizedFleet(3_000, 0)
 		served, refused := map[string]int{}, 0
 		for range 3_000 * 8 {
-			w := generation()
-			w.Request.Patience = time.Nanosecond
-			l, problem := s.fleet.Acquire(t.Context(), w)
+			req := generation()
+			req.Request.Patience = time.Nanosecond
+			g, problem := s.fleet.Acquire(t.Context(), req)
 			if problem != nil {
 				is.Equal(problem.Outcome, api.NotRun)
 				refused++
 				continue
 			}
-			served[l.Upstream()]++
+			served[g.Upstream()]++
 		}
-		is.True(len(served) > 2_900) // far more than two shards have
+		is.True(len(served) > 2_900) // far more than in two shards
 		is.True(refused < 3_000*8/2)
 		<-time.After(spreadFor)
-		asked := map[*shard]bool{}
+		used := map[*shard]bool{}
 		for range 200 {
-			asked[s.fleet.services["s"].selectShard(time.Now())] = true
+			used[s.fleet.services["s"].selectShard(time.Now())] = true
 		}
-		is.Equal(len(asked), preferredShardCount) // again
+		is.Equal(len(used), preferredShardCount) // preferred ones again
 	})
 }
--- a/internal/fleet/crashes.go
+++ b/internal/fleet/probes.go
@@ -6,12 +6,12 @@
 	"github.com/tacktally/tacktally/internal/quarantine"
 )
 
-// probeGroups is the number of groups of requests that are held back. One instance lets tries of a
-// group through.
+// probeGroups is the number of groups that quarantined requests are divided into. One instance lets the
+// probes of a group through.
 const probeGroups = 8
 
-// OwnsProbes tells whether this instance, of those within its reach, lets tries of a request through
-// that is held back.
+// OwnsProbes reports whether this instance, among the reachable ones, is the one that lets probes of a
+// quarantined request through.
 func (f *Fleet) OwnsProbes(k quarantine.Key) bool {
 	if f.slots == nil {
 		return true
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -12,43 +12,43 @@
 	"github.com/tacktally/tacktally/internal/routing"
 )
 
-// QuotaClient asks other instances for tokens. *peer.Mesh implements it.
+// QuotaClient requests tokens from other instances. *peer.Mesh implements it.
 type QuotaClient interface {
 	TakeQuota(ctx context.Context, address string, r *peer.QuotaRequest, within time.Duration) (*peer.QuotaReply, error)
 	ReturnQuota(address string, r *peer.QuotaReturn)
-	// FleetSize is the number of instances as far as known; 0 while this one, which isn't
-	// alone, has heard of none.
+	// FleetSize returns the number of known instances, or 0 if this instance has peers but knows none of
+	// them yet.
 	FleetSize() int
 }
 
-// Quotas bounds what each organisation uses over all instances: one of them, which all work
-// out as they do the owner of a shard, keeps its bucket, and the others ask it. While there
-// are two, of parts of the fleet that don't reach each other, each grants its part. Safe
-// for concurrent use.
+// Quotas limits what each organisation uses over all instances. One instance, computed in the same way as
+// the owner of a shard, keeps the organisation's bucket, and the others request tokens from it. On the
+// sides of a network partition each side has an owner, which grants the share of its side. Safe for
+// concurrent use.
 type Quotas struct {
 	limiter        *quota.Limiter
 	startupLimiter *quota.Limiter // used until this instance has settled
 	allowed        Allowance
 	fleet          *Fleet
-	peers          QuotaClient // nil until there are any
+	peers          QuotaClient // nil without peers
 }
 
-// Allowance is what an organisation may use beyond its quota in any Window: a Share of
-// the quota, and so many Tokens more.
+// Allowance is what an organisation may use beyond its quota in any Window: Share of the quota, plus
+// Tokens.
 type Allowance struct {
 	Share  float64
 	Tokens float64
 	Window time.Duration
 }
 
-// grantedAllowanceShare is the part of the allowance by which rates are raised. What an organisation
-// may use and is refused is lost to its callers; the rest of the allowance is for what
-// instances grant while they start, for repeats, and for a second keeper of the bucket in the
-// 1.2 s for which views of a cut may differ.
+// grantedAllowanceShare is the share of the allowance by which rates are raised. A request that is
+// refused although the allowance permits it is lost to its caller; the rest of the allowance covers what
+// instances grant while they start, retries, and a second owner of the bucket during the 1.2 s for which
+// views of a network partition may differ.
 const grantedAllowanceShare = 0.35
 
-// raisedRate returns the rate at which a bucket fills of an organisation's own rate. The tokens
-// of the allowance don't apply to organisations whose quota counts requests.
+// raisedRate returns the rate at which an organisation's bucket fills, with the allowance included. The
+// tokens of the allowance don't apply to organisations whose quota counts requests.
 func (a Allowance) raisedRate(o *routing.Organisation) float64 {
 	rate := o.TokensPerSecond * (1 + grantedAllowanceShare*a.Share)
 	if o.CountsRequests || a.Window == 0 {
@@ -57,46 +57,49 @@
 	return rate + grantedAllowanceShare*a.Tokens/a.Window.Seconds()
 }
 
-// NewQuotas returns the quotas of an instance that was started at a time.
+// NewQuotas returns the quotas of an instance that was started at the given time.
 func NewQuotas(started time.Time, allowed Allowance, fleet *Fleet) *Quotas {
 	return &Quotas{limiter: quota.New(), startupLimiter: quota.NewStarting(started.Add(startupDelay)), allowed: allowed, fleet: fleet}
 }
 
-// SetClient lets the quotas ask other instances. It is called once, before requests come.
+// SetClient sets the client for token requests to other instances. It is called once, before the first
+// request.
 func (q *Quotas) SetClient(p QuotaClient) { q.peers = p }
 
-// TokenGrant is what was taken, and of whom.
+// TokenGrant is a number of tokens taken, and the instance that granted them.
 type TokenGrant struct {
-	// Count of them.
+	// Count is the number of tokens.
 	Count int
-	// Owner is the instance that granted them, empty for this one.
+	// Owner is the granting instance, empty for this one.
 	Owner string
 
 	organisation string
-	startup      bool // they are of what this instance grants while it starts
+	startup      bool // taken from startupLimiter
 }
 
-// quotaGroups is the number of groups that buckets are in. One instance keeps all of a group,
-// so that others need links to so many at most, however many organisations there are, and
-// one of 300 instances that serve 1,200 requests a second answers for 150 of them.
+// quotaGroups is the number of groups that buckets are divided into. One instance keeps all buckets of a
+// group, so that the others need links to at most quotaGroups instances, however many organisations there
+// are; an owner among 300 instances that serve 1,200 requests per second handles 150 token requests per
+// second.
 const quotaGroups = 8
 
-// quotaKey names the shard that an organisation's bucket is in. No service is called so.
+// quotaKey returns the key of the group that an organisation's bucket is in. No service has the name that
+// it uses.
 func quotaKey(organisation string) shardKey {
 	group := int(xxhash.Sum64String(organisation) % quotaGroups)
 	return shardKey{service: "buckets of organisations", index: group, settledOnly: true}
 }
 
-// reserveFactor is how many times its own tokens a request of each rank below the first has to leave in
-// its organisation's bucket, for what is more important. While the organisation asks for more than its
-// quota, those of the first rank find tokens by that, and small requests of others, too.
+// reserveFactor times its own tokens, for each rank below the first, is what a request has to leave in
+// the bucket of its organisation for more important requests. While the organisation exceeds its quota,
+// requests of the first rank still get tokens, and so do small requests of other ranks.
 const reserveFactor = 4
 
-// reserve is what a request of so many tokens leaves.
+// reserve returns how many tokens a request has to leave in the bucket.
 func reserve(tokens, rank int) float64 { return float64(reserveFactor * rank * tokens) }
 
-// Take takes tokens of an organisation, for a request of a rank. When it can't, wait is when to come back. It blocks
-// until the owner has answered.
+// Take takes n tokens of an organisation for a request of the given rank, or returns the time after which
+// to retry. It blocks until the owner of the bucket has replied.
 func (q *Quotas) Take(ctx context.Context, id string, o *routing.Organisation, n, rank int) (taken *TokenGrant, wait time.Duration) {
 	r := &peer.QuotaRequest{Organisation: o.Name, Rate: q.allowed.raisedRate(o), Burst: o.BurstTokens, Tokens: n, Reserve: reserve(n, rank)}
 	owners := q.owners(o.Name)
@@ -111,36 +114,36 @@
 		case err == nil:
 			return nil, reply.Wait
 		case ctx.Err() != nil:
-			return nil, ShortRetryAfter // the caller is gone
+			return nil, ShortRetryAfter // the caller has gone away
 		}
 		q.fleet.markUnresponsive(owner, id, err)
 	}
 	if len(owners) == 0 {
 		return q.takeLocal(r, q.fleet.reachableShare())
 	}
-	return q.takeLocal(r, q.fleet.ownShare()) // it may be one of many that reach no owner
+	return q.takeLocal(r, q.fleet.ownShare()) // many other instances may reach no owner either
 }
 
-// ShortRetryAfter is told where waiting a moment may mend it: another instance may serve the
+// ShortRetryAfter is the retry delay for refusals that may be temporary: another instance may serve the
 // request at once.
 const ShortRetryAfter = 200 * time.Millisecond
 
 const (
-	// startupRateFactor is what an instance grants until it has settled, in its share of the
-	// rate: callers that were cut off all come back at once. It doesn't know what was used
-	// before. The users' bounds leave about a second of the rate, and what nobody used
-	// while the fleet was down, for each of two starts within a window; in this time and
-	// in buckets that are taken over about that is granted.
+	// startupRateFactor is what an instance grants until it has settled, relative to its share of the
+	// rate: callers whose connections were lost all come back at once. The instance doesn't know earlier
+	// usage. The allowance leaves about one second of the rate, plus what was unused while the fleet was
+	// down, for each of two starts within a window; grants during startup and from buckets that are taken
+	// over use about that much.
 	startupRateFactor = 1.6
-	// startupDebtSeconds is the debt, in seconds of the rate, into which all that start may run
+	// startupDebtSeconds is the debt, in seconds of the rate, that all starting instances may run into
 	// together.
 	startupDebtSeconds = 0.2
-	// startupDelay is how long after its start an instance grants nothing by itself: until
-	// its seeds have said how many there are.
+	// startupDelay is how long after its start an instance grants nothing on its own: until its seeds
+	// have reported the number of instances.
 	startupDelay = 50 * time.Millisecond
 )
 
-// takeStartup takes tokens of this instance's share while it starts.
+// takeStartup takes tokens from the share of this instance while it starts.
 func (q *Quotas) takeStartup(r *peer.QuotaRequest) (granted bool, wait time.Duration) {
 	size := q.fleetSize()
 	if size == 0 {
@@ -157,15 +160,16 @@
 	return q.peers.FleetSize()
 }
 
-// takeLocal takes tokens of what this instance may grant by itself: a part of the quota, once it has settled.
-func (q *Quotas) takeLocal(r *peer.QuotaRequest, part float64) (*TokenGrant, time.Duration) {
+// takeLocal takes tokens that this instance may grant on its own: the given share of the quota once it
+// has settled.
+func (q *Quotas) takeLocal(r *peer.QuotaRequest, share float64) (*TokenGrant, time.Duration) {
 	t := &TokenGrant{organisation: r.Organisation, Count: r.Tokens, startup: !q.fleet.Settled()}
 	var granted bool
 	var wait time.Duration
 	if t.startup {
 		granted, wait = q.takeStartup(r)
 	} else {
-		granted, wait = q.grant(r, part)
+		granted, wait = q.grant(r, share)
 	}
 	if !granted {
 		return nil, wait
@@ -180,19 +184,19 @@
 	return q.fleet.ownersOf(quotaKey(organisation))
 }
 
-// ServeTake grants tokens out of this instance's bucket, to itself or to a peer.
+// ServeTake grants tokens to a peer from the bucket of this instance.
 func (q *Quotas) ServeTake(r *peer.QuotaRequest) *peer.QuotaReply {
 	granted, wait := q.grant(r, q.fleet.reachableShare())
 	return &peer.QuotaReply{Granted: granted, Wait: wait}
 }
 
-// grant takes tokens out of this instance's bucket, which holds a part of the quota.
-func (q *Quotas) grant(r *peer.QuotaRequest, part float64) (granted bool, wait time.Duration) {
+// grant takes tokens from the bucket of this instance, which holds a share of the quota.
+func (q *Quotas) grant(r *peer.QuotaRequest, share float64) (granted bool, wait time.Duration) {
 	limit := quota.Limit{Rate: r.Rate, Burst: r.Burst, Debt: math.Inf(1), Reserve: r.Reserve}
-	return q.limiter.Take(time.Now(), r.Organisation, limit.Scale(part), r.Tokens)
+	return q.limiter.Take(time.Now(), r.Organisation, limit.Scale(share), r.Tokens)
 }
 
-// Return gives back what was taken and not used.
+// Return gives back tokens that were taken and not used.
 func (q *Quotas) Return(t *TokenGrant) {
 	switch {
 	case t.startup:
@@ -204,5 +208,5 @@
 	}
 }
 
-// ServeReturn takes back what a peer gives back.
+// ServeReturn takes back tokens that a peer returns.
 func (q *Quotas) ServeReturn(r *peer.QuotaReturn) { q.limiter.Return(r.Organisation, r.Tokens) }
--- a/internal/fleet/quotas_test.go
+++ b/internal/fleet/quotas_test.go
@@ -13,9 +13,9 @@
 	"github.com/tacktally/tacktally/internal/routing"
 )
 
-// What an organisation may use beyond its quota is granted in part; the rest is for starts
-// and changes of who keeps its bucket.
-func TestHowMuchOfTheAllowanceIsGranted(t *testing.T) {
+// Only a share of the allowance is granted; the rest is for startups and changes of the owner of a
+// bucket.
+func TestRaisedRateGrantsShareOfAllowance(t *testing.T) {
 	allowed := Allowance{Share: 0.25, Tokens: 160_000, Window: 8 * time.Second}
 	for name, c := range map[string]struct {
 		allowed      Allowance
@@ -34,9 +34,9 @@
 	}
 }
 
-// A part of a fleet was cut off beside an organisation that asked for many times its quota: for as long as views of the
-// cut differed, there were two keepers of the whole quota, and all that its allowance left wasn't enough.
-func TestAnAllowanceHasRoomForASecondKeeper(t *testing.T) {
+// During a network partition, while an organisation requested many times its quota, there were two owners
+// of the whole bucket for as long as views differed, and what was left of the allowance wasn't enough.
+func TestAllowanceCoversSecondOwnerDuringPartition(t *testing.T) {
 	const viewsDiffer = 1200 * time.Millisecond
 	is := is.New(t)
 	allowed := Allowance{Share: 0.25, Window: 8 * time.Second}
@@ -44,9 +44,9 @@
 	limit := quota.Limit{Rate: allowed.raisedRate(o), Burst: o.BurstTokens}
 	begin := time.Now()
 	granted := 0
-	take := func(keeper *quota.Limiter, now time.Time) {
+	take := func(owner *quota.Limiter, now time.Time) {
 		for ok := true; ok; {
-			if ok, _ = keeper.Take(now, "crews", limit, 100); ok {
+			if ok, _ = owner.Take(now, "crews", limit, 100); ok {
 				granted += 100
 			}
 		}
@@ -55,17 +55,17 @@
 	take(first, begin.Add(-time.Hour))
 	granted = 0
 	for at := time.Duration(0); at < allowed.Window; at += 10 * time.Millisecond {
-		take(first, begin.Add(at)) // its bucket is full at the begin
+		take(first, begin.Add(at)) // its bucket is full at the beginning
 		if at < viewsDiffer {
 			take(second, begin.Add(at))
 		}
 	}
-	most := (o.TokensPerSecond*allowed.Window.Seconds() + o.BurstTokens) * (1 + allowed.Share)
-	is.True(float64(granted) <= most)
-	is.True(float64(granted) >= 0.95*most) // and not much more
+	maxGranted := (o.TokensPerSecond*allowed.Window.Seconds() + o.BurstTokens) * (1 + allowed.Share)
+	is.True(float64(granted) <= maxGranted)
+	is.True(float64(granted) >= 0.95*maxGranted) // and not much more
 }
 
-// unreachable is a mesh of ten instances without links.
+// unreachable is a QuotaClient of a fleet of ten instances without links.
 type unreachable struct{}
 
 func (unreachable) TakeQuota(context.Context, string, *peer.QuotaRequest, time.Duration) (*peer.QuotaReply, error) {
@@ -76,20 +76,20 @@
 
 func (unreachable) FleetSize() int { return 10 }
 
-// A third of a fleet was cut off, one by one, beside an organisation that asked for many times its quota. Until each
-// had noticed, it granted as the keeper of the whole quota would.
-func TestInstancesThatReachNoKeeperOfAQuotaGrantTheirShares(t *testing.T) {
+// A third of a fleet was partitioned off, one instance after the other, while an organisation requested
+// many times its quota. Until each had noticed, it granted as the owner of the whole quota would.
+func TestInstancesWithoutReachableQuotaOwnerGrantTheirShares(t *testing.T) {
 	is := is.New(t)
 	o := &routing.Organisation{Name: "crews", TokensPerSecond: 100, BurstTokens: 10_000}
 	all := instances(10)
 	for i := range all {
 		all[i].Settled = true
 	}
-	granted, keepers := 0, 0
+	granted, owners := 0, 0
 	for _, i := range all {
 		f := fleetOf(i.Address, all)
 		if slices.Contains(f.ownersOf(quotaKey(o.Name)), i.Address) {
-			keepers++ // or whoever is asked where the keeper is silent
+			owners++ // the owner, or the one that is used if the owner does not reply
 			continue
 		}
 		q := NewQuotas(time.Now().Add(-time.Hour), Allowance{}, f)
@@ -100,6 +100,6 @@
 			}
 		}
 	}
-	is.Equal(keepers, maxOwners)
-	is.True(granted <= 1600) // 0.15 of the burst for a keeper, and some for the time that this takes
+	is.Equal(owners, maxOwners)
+	is.True(granted <= 1600) // 0.15 of the burst for an owner, and some for the time that the test takes
 }
--- a/internal/fleet/repeats_test.go
+++ b/internal/fleet/retry_budget_test.go
@@ -14,10 +14,11 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// What a service's callers may have sent again doesn't depend on how many instances they come to: a tenth of
-// the requests fail and are sent again, in fleets that get less than one request a second each as in small ones.
-func TestRepeatsDoNotRunOutInALargeFleet(t *testing.T) {
-	const failing = 10 // one in so many
+// The retry budget of a service must not depend on the number of instances: a tenth of the requests fail
+// and are retried, in fleets in which each instance gets less than one request per second as well as in
+// small ones.
+func TestRetryBudgetSufficesInLargeFleet(t *testing.T) {
+	const failing = 10 // one of this many requests fails
 	for _, instances := range []int{6, 584, 1_200} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -27,7 +28,7 @@
 				for _, service := range s.fleet.services {
 					s.fleet.updateRetryBudgets(service)
 				}
-				asked, repeated := 0, 0
+				wanted, retried := 0, 0
 				for range 10 { // seconds
 					<-time.After(time.Second)
 					for i := range 10 * failing {
@@ -36,44 +37,44 @@
 						if i%failing > 0 {
 							continue
 						}
-						asked++
+						wanted++
 						if charge(shard.retryBudget, peer.AskRepeat) == nil {
-							repeated++
+							retried++
 						}
 					}
 				}
-				is.True(repeated > asked*9/10)
+				is.True(retried > wanted*9/10)
 			})
 		})
 	}
 }
 
-// A repeat that the budget lacks isn't made, and one that gets no slot costs nothing.
-func TestARepeatIsPaidForOnceItIsMade(t *testing.T) {
+// A retry is refused if the budget is empty, and one that gets no slot costs nothing.
+func TestRetryIsChargedOnlyIfGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSizedFleet(1, 0)
 		s.fleet.o.RetryBudget = retrybudget.Bound{Extra: 3, Window: time.Second}
 		s.fleet.updateRetryBudgets(s.fleet.services["s"])
-		repeat := func() (Grant, *api.Problem) {
-			w := generation()
-			w.Attempt = peer.AskRepeat
-			w.Request.Patience = time.Nanosecond
-			return s.fleet.Acquire(t.Context(), w)
+		retry := func() (Grant, *api.Problem) {
+			req := generation()
+			req.Attempt = peer.AskRepeat
+			req.Request.Patience = time.Nanosecond
+			return s.fleet.Acquire(t.Context(), req)
 		}
-		_, problem := repeat()
+		_, problem := retry()
 		is.Equal(problem.Reason, api.ReasonRetryBudget) // it starts empty
-		var held []Grant
+		var grants []Grant
 		for range s.list[0].Slots {
-			l, problem := s.fleet.Acquire(t.Context(), generation())
+			g, problem := s.fleet.Acquire(t.Context(), generation())
 			is.True(problem == nil)
-			held = append(held, l)
+			grants = append(grants, g)
 		}
 		<-time.After(2 * time.Second)
-		_, problem = repeat()
-		is.True(problem != nil && problem.Reason != api.ReasonRetryBudget) // no room
-		held[0].End(scheduler.Completed, 1)
-		_, problem = repeat()
+		_, problem = retry()
+		is.True(problem != nil && problem.Reason != api.ReasonRetryBudget) // no free slot
+		grants[0].End(scheduler.Completed, 1)
+		_, problem = retry()
 		is.True(problem == nil)
 	})
 }
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -16,7 +16,7 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// sizedFleet is a fleet of so many instances before so many upstreams, as one of its instances has it.
+// sizedFleet is one instance in a fleet of a given size, with a given number of upstreams.
 type sizedFleet struct {
 	fleet   *Fleet
 	list    []view.Upstream
@@ -40,7 +40,7 @@
 	return s
 }
 
-// changeOneUpstream lets one upstream leave, or stay after all.
+// changeOneUpstream marks one upstream as leaving, or as staying again.
 func (s *sizedFleet) changeOneUpstream() {
 	s.version++
 	u := &s.list[int(s.version)%len(s.list)]
@@ -48,19 +48,20 @@
 	s.fleet.ApplyListChange(view.ListChange{Version: s.version, Changed: []view.Upstream{*u}})
 }
 
-// receiveUpdates takes a peer's word of upstreams that leave, which are gone from the list.
+// receiveUpdates applies a heartbeat of a peer, with leaving notices of upstreams that are no longer
+// listed.
 func (s *sizedFleet) receiveUpdates() {
-	s.fleet.MergeLeavingNotices("p", []string{"i-gone@1", "i-gone@2", "i-gone@3"})
+	s.fleet.MergeLeavingNotices("p", []string{"i-removed@1", "i-removed@2", "i-removed@3"})
 	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{Running: map[string]int{s.list[0].ID: 1}})
 }
 
-// listExcluded works out what is told to an owner with a request.
+// listExcluded lists the excluded upstreams, as for a slot request.
 func (s *sizedFleet) listExcluded() { s.fleet.excludedUpstreams() }
 
-// What an instance does at a change of one upstream, at a peer's heartbeat, for a request and every moment to
-// look after its upstreams doesn't grow with how many there are. Allocations stand for work here: whatever goes
-// through all upstreams allocates for each of them, or for each shard.
-func TestWorkDoesNotGrowWithTheUpstreams(t *testing.T) {
+// The work of an instance for a change of one upstream, a heartbeat, a request, and its periodic upkeep
+// must not grow with the number of upstreams. The test counts allocations: code that goes through all
+// upstreams allocates for each of them, or for each shard.
+func TestWorkIsIndependentOfNumberOfUpstreams(t *testing.T) {
 	for name, work := range map[string]func(*sizedFleet){
 		"a change of one upstream": (*sizedFleet).changeOneUpstream,
 		"a heartbeat":              (*sizedFleet).receiveUpdates,
@@ -79,8 +80,8 @@
 	}
 }
 
-// An upstream that stays keeps what was learned of it through changes of others, and new ones are used.
-func TestAChangeOfOneUpstreamLeavesOthersAlone(t *testing.T) {
+// Upstreams that stay keep their learned state through changes of others, and new ones are used.
+func TestListChangeLeavesOtherUpstreamsAlone(t *testing.T) {
 	is := is.New(t)
 	s := newSizedFleet(300, 0)
 	before := members(s.fleet)
@@ -94,7 +95,7 @@
 	is.True(s.fleet.CheckUsable(s.list[5].ID) != nil)
 }
 
-// members are the upstreams that the shards of a fleet have, by ID.
+// members returns the IDs of the upstreams in the shards of a fleet.
 func members(f *Fleet) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range f.all() {
@@ -107,8 +108,8 @@
 	return out
 }
 
-// However a list came to be, each upstream is in the shard that all instances work out for it.
-func TestUpstreamsAreAssignedAnewWhenTheNumberOfShardsChanges(t *testing.T) {
+// Whatever the history of the list, each upstream is in the shard that all instances compute for it.
+func TestUpstreamsAreReassignedWhenShardCountChanges(t *testing.T) {
 	is := is.New(t)
 	s := newSizedFleet(120, 0)
 	for i := range 200 {
@@ -134,15 +135,15 @@
 	is.Equal(seen, 220)
 }
 
-// Cold upstreams are added until there is one shard more, and taken away again within the same second. What an
-// upstream gets of the owner before, of the next one and of the first again is no more than a cold one bears:
-// the two own it one after the other, and neither knows what the other has granted.
-func TestAnUpstreamThatMovesToAnotherShardGetsNoMoreThanItBears(t *testing.T) {
+// Cold upstreams are added until there is one more shard, and removed again within the same second. The
+// two owners own an upstream one after the other, and neither knows what the other has granted; together,
+// the first one twice, they must not grant more than a cold upstream can serve.
+func TestColdStartLimitHoldsAcrossReshard(t *testing.T) {
 	is := is.New(t)
-	const most = coldRate*coldOverage + coldSlack
+	const maxGrants = coldRate*coldOverage + coldSlack
 	owner := func() *sizedFleet {
 		s := newSizedFleet(shardSize, 0)
-		s.fleet.slots = nil // it grants alone
+		s.fleet.slots = nil // decide locally
 		s.fleet.o.ColdOverage, s.fleet.o.ColdSlack = coldOverage, coldSlack
 		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldDuration, ColdPerSecond: coldRate}})
 		return s
@@ -167,17 +168,17 @@
 		first.fleet.ApplyListChange(change)
 		second.fleet.ApplyListChange(change)
 		grantAll(first.fleet.all())
-		grantAll(second.fleet.all()[1:]) // its own, while there is one
+		grantAll(second.fleet.all()[1:]) // its own shard, while there is one
 	}
 	worst := 0
 	for _, u := range first.list {
 		worst = max(worst, got[u.ID])
 	}
-	is.True(worst > 0 && worst <= most)
+	is.True(worst > 0 && worst <= maxGrants)
 }
 
-// What others run at an upstream is counted wherever the upstream moves to.
-func TestWhatOthersRunIsCountedInTheShardOfToday(t *testing.T) {
+// The load that other instances report for an upstream follows it to another shard.
+func TestPeerLoadFollowsUpstreamToNewShard(t *testing.T) {
 	is := is.New(t)
 	s := newSizedFleet(shardSize, 0)
 	busy := s.list[7].ID
@@ -204,8 +205,8 @@
 	is.Equal(running(), 0)
 }
 
-// BenchmarkAChangeOfOneUpstream is what it costs to use a changed list.
-func BenchmarkAChangeOfOneUpstream(b *testing.B) {
+// BenchmarkChangeOfOneUpstream measures the cost of applying a changed list.
+func BenchmarkChangeOfOneUpstream(b *testing.B) {
 	for _, upstreams := range []int{300, 3_000, 30_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			s := newSizedFleet(upstreams, 583)
--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -14,15 +14,16 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// SlotClient asks other instances for slots. *peer.Mesh implements it.
+// SlotClient requests slots from other instances. *peer.Mesh implements it.
 type SlotClient interface {
-	AcquireSlot(ctx context.Context, address string, r *peer.SlotRequest, ackWithin time.Duration) (*peer.Slot, *peer.SlotRefusal, error)
-	// FleetSize is the number of instances as far as known; 0 while this one, which isn't
-	// alone, has heard of none.
+	AcquireSlot(ctx context.Context, address string, r *peer.SlotRequest, ackTimeout time.Duration) (*peer.Slot, *peer.SlotRefusal, error)
+	// FleetSize returns the number of known instances, or 0 if this instance has peers but knows none of
+	// them yet.
 	FleetSize() int
 }
 
-// SetSlotClient lets the fleet ask other instances. It is called once, before requests come.
+// SetSlotClient sets the client for slot requests to other instances. It is called once, before the first
+// request.
 func (f *Fleet) SetSlotClient(s SlotClient) { f.slots = s }
 
 // AcquireRequest is a request for a slot.
@@ -31,78 +32,79 @@
 	Key      quarantine.Key
 	Service  string
 	Request  *scheduler.Request
-	Segments []prefix.Part // of its prompt, in order
+	Segments []prefix.Part // of the prompt, in order
 	Attempt  peer.Ask
 }
 
 // Acquire blocks until the request gets a slot, is refused, or ctx ends.
-func (f *Fleet) Acquire(ctx context.Context, w *AcquireRequest) (Grant, *api.Problem) {
-	w.Request.Without = f.excludedUpstreams()
-	shard, owners := f.shardAndOwners(w)
-	repeats := f.RetryBudget(w.Service)
+func (f *Fleet) Acquire(ctx context.Context, req *AcquireRequest) (Grant, *api.Problem) {
+	req.Request.Without = f.excludedUpstreams()
+	shard, owners := f.shardAndOwners(req)
+	retryBudget := f.RetryBudget(req.Service)
 	for _, owner := range owners {
 		if owner == f.o.Instance {
-			repeats = shard.retryBudget
+			retryBudget = shard.retryBudget
 			break
 		}
-		l, problem, err := f.requestSlot(ctx, owner, shard, w)
+		g, problem, err := f.requestSlot(ctx, owner, shard, req)
 		switch {
 		case err == nil:
-			return l, problem
+			return g, problem
 		case ctx.Err() != nil:
 			return nil, pool.EndedWaiting(ctx)
 		}
-		f.markUnresponsive(owner, w.ID, err)
+		f.markUnresponsive(owner, req.ID, err)
 	}
 	if len(owners) == 0 {
-		repeats = shard.retryBudget // there is nobody else
+		retryBudget = shard.retryBudget // no other instance may own the shard
 	}
-	if problem := charge(repeats, w.Attempt); problem != nil {
+	if problem := charge(retryBudget, req.Attempt); problem != nil {
 		return nil, problem
 	}
-	w.Request.Chain = prefix.ChainOf(w.Segments)
-	w.Request.Zone = f.o.Zone
-	w.Request.Region = f.o.Regions[f.o.Zone]
-	grant, problem := shard.pool.Acquire(ctx, w.Request)
+	req.Request.Chain = prefix.ChainOf(req.Segments)
+	req.Request.Zone = f.o.Zone
+	req.Request.Region = f.o.Regions[f.o.Zone]
+	grant, problem := shard.pool.Acquire(ctx, req.Request)
 	if problem != nil {
-		f.spreadRequests(w.Service)
-		refund(repeats, w.Attempt)
+		f.spreadRequests(req.Service)
+		refund(retryBudget, req.Attempt)
 		return nil, problem
 	}
 	return &localGrant{shard: shard, grant: grant, listVersion: f.listVersion()}, nil
 }
 
-// charge takes what an attempt costs of a budget of repeats, or adds what it earns.
-func charge(repeats *retrybudget.Budget, ask peer.Ask) *api.Problem {
+// charge withdraws a retry from the budget, or deposits a first attempt.
+func charge(retryBudget *retrybudget.Budget, attempt peer.Ask) *api.Problem {
 	switch {
-	case ask == peer.AskFirst:
-		repeats.Deposit()
-	case ask == peer.AskRepeat && !repeats.Withdraw():
-		return api.Refuse(api.ReasonRetryBudget, "as many requests are sent again to the service as may be; come back after the time given").WithRetryAfter(ShortRetryAfter)
+	case attempt == peer.AskFirst:
+		retryBudget.Deposit()
+	case attempt == peer.AskRepeat && !retryBudget.Withdraw():
+		return api.Refuse(api.ReasonRetryBudget, "the retry budget of the service is exhausted; retry after the given time").WithRetryAfter(ShortRetryAfter)
 	}
 	return nil
 }
 
-// refund gives back what was paid for an attempt that isn't made.
-func refund(repeats *retrybudget.Budget, ask peer.Ask) {
-	if ask == peer.AskRepeat {
-		repeats.Return()
+// refund returns the withdrawal for an attempt that isn't made.
+func refund(retryBudget *retrybudget.Budget, attempt peer.Ask) {
+	if attempt == peer.AskRepeat {
+		retryBudget.Return()
 	}
 }
 
-// shardAndOwners returns a shard and who schedules it; no owner means this instance.
-func (f *Fleet) shardAndOwners(w *AcquireRequest) (*shard, []string) {
+// shardAndOwners returns a shard and the instances to request a slot from, in order; none means that this
+// instance decides.
+func (f *Fleet) shardAndOwners(req *AcquireRequest) (*shard, []string) {
 	f.mu.Lock()
-	shard := f.serviceOf(w.Service).selectShard(time.Now())
+	shard := f.serviceOf(req.Service).selectShard(time.Now())
 	f.mu.Unlock()
 	if f.slots == nil {
 		return shard, nil
 	}
-	return shard, f.ownersOf(shardKey{service: w.Service, index: shard.index})
+	return shard, f.ownersOf(shardKey{service: req.Service, index: shard.index})
 }
 
-// ownersOf returns the instances to ask for what is in a shard, in order; none means this
-// one.
+// ownersOf returns the instances that may own a shard or group, in the order in which to send requests to
+// them; none means this instance.
 func (f *Fleet) ownersOf(k shardKey) []string {
 	f.mu.Lock()
 	instances := f.instances
@@ -118,45 +120,45 @@
 	return owners
 }
 
-// markUnresponsive notes that an owner couldn't be asked.
+// markUnresponsive records that an owner didn't decide on a request, and logs the cause.
 func (f *Fleet) markUnresponsive(owner, id string, err error) {
 	f.o.Metrics.Count("tacktally_slot_requests_undecided_total")
 	f.o.Log.Warn().Str("event", "owner_silent").Str("request", id).Str("owner", owner).Str("cause", err.Error()).Msg("")
 	f.owners.markUnresponsive(owner, time.Now())
 }
 
-// requestSlot asks the owner of a shard for a slot. The error says that it didn't decide.
-func (f *Fleet) requestSlot(ctx context.Context, owner string, s *shard, w *AcquireRequest) (Grant, *api.Problem, error) {
-	slot, refusal, err := f.slots.AcquireSlot(ctx, owner, f.slotRequest(time.Now(), s, w), ackTimeout)
+// requestSlot requests a slot from the owner of a shard. An error means that the owner didn't decide.
+func (f *Fleet) requestSlot(ctx context.Context, owner string, s *shard, req *AcquireRequest) (Grant, *api.Problem, error) {
+	slot, refusal, err := f.slots.AcquireSlot(ctx, owner, f.slotRequest(time.Now(), s, req), ackTimeout)
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case refusal != nil && api.Reason(refusal.Reason) == api.ReasonRetryBudget:
 		return nil, problemOf(refusal), nil
 	case refusal != nil:
-		f.spreadRequests(w.Service)
+		f.spreadRequests(req.Service)
 		return nil, problemOf(refusal), nil
 	case slot.Queued:
-		f.spreadRequests(w.Service)
+		f.spreadRequests(req.Service)
 	}
 	s.pool.Adopt(slot.Grant.Upstream, ratesOf(slot.Grant))
-	l := &peerGrant{owner: owner, slotGrant: slot.Grant, slot: slot, tracked: &f.peerGrants}
-	f.peerGrants.add(l)
-	return l, nil, nil
+	g := &peerGrant{owner: owner, slotGrant: slot.Grant, slot: slot, tracked: &f.peerGrants}
+	f.peerGrants.add(g)
+	return g, nil, nil
 }
 
-// ratesOf is what a grant tells of its upstream's speed.
+// ratesOf returns the speed of an upstream that a grant reports.
 func ratesOf(g peer.SlotGrant) estimate.Rates {
 	return estimate.Rates{Prefill: float64(g.Prefill), Interval: time.Duration(g.Interval) * time.Microsecond}
 }
 
-func (f *Fleet) slotRequest(now time.Time, s *shard, w *AcquireRequest) *peer.SlotRequest {
-	r := w.Request
+func (f *Fleet) slotRequest(now time.Time, s *shard, req *AcquireRequest) *peer.SlotRequest {
+	r := req.Request
 	out := &peer.SlotRequest{
 		Service:      s.service,
 		Shard:        s.index,
-		ID:           w.ID,
-		Digest:       w.Key.Digest,
+		ID:           req.ID,
+		Digest:       req.Key.Digest,
 		Rank:         r.Rank,
 		Organisation: r.Organisation,
 		Age:          now.Sub(r.Arrived),
@@ -169,23 +171,23 @@
 		Bytes:        r.Bytes,
 		Exclude:      r.Exclude,
 		Without:      r.Without,
-		Ask:          w.Attempt,
+		Ask:          req.Attempt,
 		Limits:       f.limitsForOwner(s.service),
 		Zone:         f.o.Zone,
 		Bound:        r.Homes.Bound,
 		Regions:      r.Homes.Regions,
 	}
-	for _, p := range w.Segments {
+	for _, p := range req.Segments {
 		out.Parts = append(out.Parts, peer.PromptPart{Sum: p.Sum, Tokens: p.Tokens})
 	}
 	return out
 }
 
-// schedulerRequest turns a peer's request into the scheduler's.
+// schedulerRequest converts a slot request of a peer to one of the scheduler.
 func schedulerRequest(now time.Time, r *peer.SlotRequest) *scheduler.Request {
-	var parts []prefix.Part
+	var segments []prefix.Part
 	for _, p := range r.Parts {
-		parts = append(parts, prefix.Part{Sum: p.Sum, Tokens: p.Tokens})
+		segments = append(segments, prefix.Part{Sum: p.Sum, Tokens: p.Tokens})
 	}
 	return &scheduler.Request{
 		Rank:         r.Rank,
@@ -199,7 +201,7 @@
 		Prompt:       r.Prompt,
 		Output:       r.Output,
 		Expected:     r.Expected,
-		Chain:        prefix.ChainOf(parts),
+		Chain:        prefix.ChainOf(segments),
 		Bytes:        r.Bytes,
 		Exclude:      r.Exclude,
 		Without:      r.Without,
@@ -212,12 +214,12 @@
 	return api.Refuse(api.Reason(r.Reason), "%s", r.Detail).WithRetryAfter(r.RetryAfter)
 }
 
-// ServeSlot decides on a slot that a peer asks for, as the peer's own scheduler would,
-// and blocks until it is given back or ctx ends. Whoever is asked decides: only the one
-// that asks has to believe that this instance owns the shard.
+// ServeSlot decides on a slot that a peer requests, as the peer's own scheduler would, and blocks until
+// the slot is released or ctx ends. It doesn't check whether this instance owns the shard: only the
+// requester has to believe so.
 func (f *Fleet) ServeSlot(ctx context.Context, r *peer.SlotRequest, s *peer.SlotStream) {
 	if left := f.o.Quarantine.Held(time.Now(), quarantine.Key{Organisation: r.Organisation, Digest: r.Digest}); left > 0 {
-		p := quarantine.Refusal(left) // the peer hasn't heard of it yet
+		p := quarantine.Refusal(left) // the peer has not received the quarantine record yet
 		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
@@ -232,23 +234,24 @@
 	request := schedulerRequest(time.Now(), r)
 	request.Region = f.o.Regions[r.Zone]
 	waiting := shard.pool.Submit(request)
-	turn, decided := waiting.Decided()
+	decision, decided := waiting.Decided()
 	if !decided {
 		s.Queued()
-		turn = waiting.Wait(ctx)
+		decision = waiting.Wait(ctx)
 	}
-	if turn.Problem != nil {
+	if decision.Problem != nil {
 		refund(shard.retryBudget, r.Ask)
-		p := turn.Problem
+		p := decision.Problem
 		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
-	ending, output := f.serveGrant(ctx, shard, r, s, turn.Grant)
-	shard.pool.End(turn.Grant, ending, output)
+	result, output := f.serveGrant(ctx, shard, r, s, decision.Grant)
+	shard.pool.End(decision.Grant, result, output)
 }
 
-// serveGrant tells the peer its slot and returns how the request ended.
+// serveGrant sends the grant to the peer, waits for the release of the slot, and returns how the request
+// ended.
 func (f *Fleet) serveGrant(ctx context.Context, sh *shard, r *peer.SlotRequest, s *peer.SlotStream, g *scheduler.Grant) (scheduler.Ending, int) {
 	err := s.Granted(ctx, peer.SlotGrant{
 		Upstream:    g.Upstream.ID,
@@ -270,22 +273,22 @@
 		case scheduler.Ending(release.Ending).IsKnown():
 			return scheduler.Ending(release.Ending), release.Output
 		default:
-			return scheduler.Cancelled, 0 // a peer of a newer version
+			return scheduler.Cancelled, 0 // sent by a peer of a newer version
 		}
 	}
 	return scheduler.Cancelled, 0
 }
 
-func (f *Fleet) logSlot(r *peer.SlotRequest, asking, decision, why string, err error) {
-	line := f.o.Log.Debug().Str("event", "slot").Str("request", r.ID).Str("peer", asking).Str("decision", decision).Str("why", why)
+func (f *Fleet) logSlot(r *peer.SlotRequest, requester, decision, why string, err error) {
+	line := f.o.Log.Debug().Str("event", "slot").Str("request", r.ID).Str("peer", requester).Str("decision", decision).Str("why", why)
 	if err != nil {
 		line = line.Str("cause", err.Error())
 	}
 	line.Msg("")
 }
 
-// shardAt returns a shard of a service. Where the peer sees more shards than there are
-// here, its list is another one, and any shard will do.
+// shardAt returns a shard of a service. If the peer has more shards than this instance, its list is a
+// different one, and any shard may be used.
 func (f *Fleet) shardAt(service string, index int) *shard {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -10,24 +10,24 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// upstream is one that is on the list, as this instance uses it.
+// upstream is an upstream on the list, as this instance uses it.
 type upstream struct {
 	view.Upstream
-	listed   time.Time // when the list said so, from which on it is cold for so long
-	unusable error     // why it gets nothing new; nil where it may
+	listed   time.Time // when this entry was applied; Cold counts from then
+	unusable error     // why it gets no new requests; nil if it does
 	shard    *shard
 }
 
-// process names the process that it has.
+// process returns the name of its current process.
 func (u *upstream) process() string { return processName(u.ID, u.Born) }
 
-// extendCold makes it count as cold for so long at least.
-func (u *upstream) extendCold(now time.Time, least time.Duration) {
-	u.Cold = max(u.listed.Add(u.Cold).Sub(now), least)
+// extendCold makes the upstream count as cold for at least the given duration.
+func (u *upstream) extendCold(now time.Time, atLeast time.Duration) {
+	u.Cold = max(u.listed.Add(u.Cold).Sub(now), atLeast)
 	u.listed = now
 }
 
-// member is what its scheduler is to know of it.
+// member returns the upstream in the form of the scheduler.
 func (f *Fleet) member(u *upstream) scheduler.Member {
 	return scheduler.Member{
 		ID:        u.ID,
@@ -42,7 +42,7 @@
 	}
 }
 
-// memberUpdates collects what shards are to be told of their upstreams.
+// memberUpdates collects the changes of upstreams, by shard.
 type memberUpdates map[*shard]*memberChanges
 
 type memberChanges struct {
@@ -59,7 +59,7 @@
 	return c
 }
 
-// apply tells the shards, and returns them.
+// apply applies the changes to the shards, and returns these.
 func (p memberUpdates) apply() []*shard {
 	for s, c := range p {
 		s.pool.ChangeMembers(c.changed, c.removed)
@@ -67,8 +67,8 @@
 	return slices.Collect(maps.Keys(p))
 }
 
-// ApplyListChange takes what has changed of the list, and sends what that gives room for. Its cost
-// grows with the change, not with the list, unless the number of a service's shards changes.
+// ApplyListChange applies a change of the list, and grants slots to waiting requests that fit now. Its
+// cost grows with the change, not with the list, unless the number of a service's shards changes.
 func (f *Fleet) ApplyListChange(change view.ListChange) {
 	f.mu.Lock()
 	f.version = change.Version
@@ -92,7 +92,7 @@
 	pollShards(changed)
 }
 
-// removeUpstream drops all that is kept of an upstream. The caller holds the lock.
+// removeUpstream removes an upstream and its state. The caller holds the lock.
 func (f *Fleet) removeUpstream(id string, updated memberUpdates) {
 	u := f.upstreams[id]
 	if u == nil {
@@ -105,7 +105,7 @@
 	c.removed = append(c.removed, id)
 }
 
-// putUpstream takes an upstream that is new on the list, or has changed. The caller holds the lock.
+// putUpstream adds an upstream, or replaces a changed one. The caller holds the lock.
 func (f *Fleet) putUpstream(now time.Time, listed view.Upstream, updated memberUpdates) {
 	known := f.upstreams[listed.ID]
 	if known != nil && known.Service != listed.Service {
@@ -130,15 +130,15 @@
 	f.refreshUsability(u, updated)
 }
 
-// dropProcess drops what is kept of the process that an upstream had: its connections are of no use. The caller holds
-// the lock.
+// dropProcess drops the state of the previous process of an upstream; its connections are useless. The
+// caller holds the lock.
 func (f *Fleet) dropProcess(u *upstream) {
 	f.closeConnections(u.ID)
 	delete(f.processes, u.process())
 }
 
-// reshardAll assigns upstreams to shards anew where a service has got too many or too few shards for them, and tells
-// whether one has. The caller holds the lock.
+// reshardAll reassigns the upstreams of services whose number of shards no longer fits, and reports
+// whether there was one. The caller holds the lock.
 func (f *Fleet) reshardAll() (resharded bool) {
 	for _, s := range f.services {
 		if want := shardCount(s.upstreams); want != len(s.shards) {
@@ -149,14 +149,14 @@
 	return resharded
 }
 
-// reshard assigns the upstreams of a service to so many shards. The caller holds the lock.
+// reshard assigns the upstreams of a service to the given number of shards. The caller holds the lock.
 func (f *Fleet) reshard(s *service, want int) {
 	kept := min(want, len(s.shards))
 	shards := slices.Clone(s.shards[:kept])
 	for len(shards) < want {
 		shards = append(shards, f.newShard(s.name, len(shards)))
 	}
-	before, dropped := copyUpstreams(s.shards), s.shards[kept:]
+	previous, dropped := copyUpstreams(s.shards), s.shards[kept:]
 	s.shards = shards
 	s.preferredShards = preferredShardsOf(f.o.Instance, s.name, want)
 	f.updateRetryBudgets(s)
@@ -169,20 +169,20 @@
 		i := shardFor(u.ID, want)
 		m := f.member(u)
 		if u.shard != shards[i] {
-			m.MovedAt, m.Before = now, before[u.ID]
+			m.MovedAt, m.Before = now, previous[u.ID]
 		}
 		u.shard = shards[i]
 		members[i] = append(members[i], m)
 	}
-	for _, gone := range dropped {
-		gone.pool.SetMembers(nil) // what waits there is given up in its time
+	for _, sh := range dropped {
+		sh.pool.SetMembers(nil) // waiting requests there end with their maximum wait
 	}
 	for i, sh := range shards {
 		sh.pool.SetMembers(members[i])
 	}
 }
 
-// copyUpstreams returns copies of what the shards know of their upstreams, by ID.
+// copyUpstreams returns copies of the scheduling state of the shards' upstreams, by ID.
 func copyUpstreams(shards []*shard) map[string]*balancer.Upstream {
 	out := map[string]*balancer.Upstream{}
 	for _, s := range shards {
@@ -195,7 +195,7 @@
 	return out
 }
 
-// refreshUsability finds out anew whether an upstream may be used. The caller holds the lock.
+// refreshUsability updates whether an upstream is usable. The caller holds the lock.
 func (f *Fleet) refreshUsability(u *upstream, updated memberUpdates) {
 	u.unusable = f.unusableReason(u.Upstream)
 	c := updated.forShard(u.shard)
