--- a/internal/fleet/instances.go
+++ b/internal/fleet/instances.go
@@ -43,20 +43,20 @@
 	}
 }
 
-// setInstances sets the instances and reports whether one of them became reachable.
-func (f *Fleet) setInstances(instances []Instance) (becameReachable bool) {
+// setInstances sets the instances and reports whether more of them are reachable than before.
+func (f *Fleet) setInstances(instances []Instance) (moreReachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if slices.Equal(instances, f.instances) {
 		return false
 	}
-	becameReachable = countReachable(instances) > countReachable(f.instances)
+	moreReachable = countReachable(instances) > countReachable(f.instances)
 	f.instances = instances
 	for _, s := range f.services {
 		f.updateRetryBudgets(s)
 	}
 	f.owners.invalidate()
-	return becameReachable
+	return moreReachable
 }
 
 func countReachable(instances []Instance) (n int) {
