--- a/internal/balancer/aimed_test.go
+++ b/internal/balancer/aimed_test.go
@@ -28,15 +28,15 @@
 		want                     string
 	}{
 		"a long prompt goes to the engine that reads it in time, however crowded": {
-			9, 0, Work{Prompt: 30_000, FirstIn: 800 * time.Millisecond, EndIn: 15 * second}, "fast"},
-		"a short prompt spares the crowded engine":              {9, 0, Work{Prompt: 500, FirstIn: 800 * time.Millisecond, EndIn: 15 * second}, "slow"},
-		"a full engine gets nothing":                            {10, 9, Work{Prompt: 30_000, FirstIn: 800 * time.Millisecond, EndIn: 15 * second}, "slow"},
-		"a long answer goes where it can end before its time":   {3, 0, Work{Prompt: 500, Output: 2000, FirstIn: 800 * time.Millisecond, EndIn: 15 * second}, "fast"},
-		"of two idle ones the one that reads the prompt faster": {0, 0, Work{Prompt: 3000, FirstIn: 800 * time.Millisecond, EndIn: 15 * second}, "fast"},
+			9, 0, Work{PromptTokens: 30_000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
+		"a short prompt spares the crowded engine":              {9, 0, Work{PromptTokens: 500, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "slow"},
+		"a full engine gets nothing":                            {10, 9, Work{PromptTokens: 30_000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "slow"},
+		"a long answer goes where it can end before its time":   {3, 0, Work{PromptTokens: 500, ExpectedOutput: 2000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
+		"of two idle ones the one that reads the prompt faster": {0, 0, Work{PromptTokens: 3000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := &Aimed{Weights: DefaultAimedWeights}
+			p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
 			fast := engine("fast", 100_000, 3*time.Millisecond, c.fastRunning)
 			slow := engine("slow", 16_000, 13*time.Millisecond, c.slowRunning)
 			is.Equal(p.Pick(time.Now(), []*Upstream{slow, fast}, c.work).Upstream.ID, c.want)
@@ -46,7 +46,7 @@
 
 func TestAimedPrefersItsOwnZoneAmongEquals(t *testing.T) {
 	is := is.New(t)
-	p := &Aimed{FarCost: 5 * time.Millisecond, Weights: DefaultAimedWeights}
+	p := &ObjectivePicker{CrossZoneCost: 5 * time.Millisecond, Weights: DefaultObjectiveWeights}
 	far := &Upstream{ID: "far", Zone: "bole", Slots: 6}
 	near := &Upstream{ID: "near", Zone: "merkato", Slots: 6}
 	is.Equal(p.Pick(time.Now(), []*Upstream{far, near}, Work{Zone: "merkato"}).Upstream.ID, "near")
@@ -57,7 +57,7 @@
 // An upstream in another region costs a round trip, and is used where the near ones are crowded.
 func TestAimedPrefersItsOwnRegion(t *testing.T) {
 	is := is.New(t)
-	p := &Aimed{FarCost: 5 * time.Millisecond, FarRegionCost: 30 * time.Millisecond, Weights: DefaultAimedWeights}
+	p := &ObjectivePicker{CrossZoneCost: 5 * time.Millisecond, CrossRegionCost: 30 * time.Millisecond, Weights: DefaultObjectiveWeights}
 	far := &Upstream{ID: "far", Zone: "b", Region: "south", Slots: 20}
 	near := &Upstream{ID: "near", Zone: "c", Region: "north", Slots: 20, Running: 1}
 	work := Work{Zone: "a", Region: "north"}
@@ -70,7 +70,7 @@
 
 func TestAimedSparesAnUpstreamThatFails(t *testing.T) {
 	is := is.New(t)
-	p := &Aimed{Weights: DefaultAimedWeights}
+	p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
 	grey := &Upstream{ID: "grey", Zone: "bole", Slots: 10}
 	sound := &Upstream{ID: "sound", Zone: "bole", Slots: 10, Running: 5}
 	is.Equal(p.Pick(time.Now(), []*Upstream{grey, sound}, Work{}).Upstream.ID, "grey")
@@ -83,7 +83,7 @@
 
 func TestAimedGivesNothingWhereAllAreFull(t *testing.T) {
 	is := is.New(t)
-	p := &Aimed{Weights: DefaultAimedWeights}
-	full := &Upstream{ID: "full", Slots: 6, Running: 2, OthersRunning: 4}
+	p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
+	full := &Upstream{ID: "full", Slots: 6, Running: 2, RunningElsewhere: 4}
 	is.True(p.Pick(time.Now(), []*Upstream{full}, Work{}).Upstream == nil)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -28,40 +28,40 @@
 	// Zone is its availability zone, and Region the zone's, where it is known.
 	Zone   string
 	Region string
-	// Born tells its processes apart, where it is known.
-	Born int64
+	// Incarnation tells its processes apart, where it is known.
+	Incarnation int64
 	// Speed and Window are learned.
 	Speed  estimate.Speed
 	Window estimate.Window
-	// Memory holds the prompt prefixes it likely has in its cache.
-	Memory *prefix.Memory
-	// Pending is the prompt tokens sent whose first token hasn't come.
-	Pending int
-	// OthersPending is the same of other instances, as they told last.
-	OthersPending int
+	// PrefixIndex holds the prompt prefixes it likely has in its cache.
+	PrefixIndex *prefix.Index
+	// PendingTokens is the prompt tokens sent whose first token hasn't come.
+	PendingTokens int
+	// PendingElsewhere is the same of other instances, as they told last.
+	PendingElsewhere int
 	// Running is the requests sent and not ended.
 	Running int
-	// OthersRunning is the same of other instances, as they told last.
-	OthersRunning int
+	// RunningElsewhere is the same of other instances, as they told last.
+	RunningElsewhere int
 	// Slots is how many requests it runs at once for all instances; 0 is unknown,
 	// and the window is learned.
 	Slots int
 	// Leaving upstreams get nothing new.
 	Leaving bool
-	// AvoidUntil is set after failures; a single request tests it afterwards.
-	AvoidUntil time.Time
+	// CircuitOpenUntil is set after failures; a single request tests it afterwards.
+	CircuitOpenUntil time.Time
 	// Failures in a row, the last of them at FailedAt.
 	Failures int
 	FailedAt time.Time
 	// FailureShare is the share of its latest requests that failed, smoothed.
 	FailureShare float64
-	// Limits bound how often it is granted requests, and ColdUntil is until when it is believed
+	// GrantLimits bound how often it is granted requests, and ColdUntil is until when it is believed
 	// to be cold.
-	Limits    StartLimits
-	ColdUntil time.Time
-	// Named is the limit that it has named, and Rate this instance's part of it.
-	Named NamedLimit
-	Rate  RateLimit
+	GrantLimits GrantLimits
+	ColdUntil   time.Time
+	// AdvertisedLimit is the limit that it has named, and Rate this instance's part of it.
+	AdvertisedLimit AdvertisedLimit
+	RateLimit       RateLimit
 
 	tokens     tokens
 	starts     starts
@@ -70,16 +70,16 @@
 	heard      time.Time // when it last sent something
 }
 
-// Heard records that the upstream has just sent something. Unlike all else here it may be
+// MarkSeen records that the upstream has just sent something. Unlike all else here it may be
 // called by several goroutines.
-func (u *Upstream) Heard(now time.Time) {
+func (u *Upstream) MarkSeen(now time.Time) {
 	u.heardLock.Lock()
 	defer u.heardLock.Unlock()
 	u.heard = now
 }
 
-// HeardAfter tells whether the upstream has sent something after a time.
-func (u *Upstream) HeardAfter(t time.Time) bool {
+// SeenAfter tells whether the upstream has sent something after a time.
+func (u *Upstream) SeenAfter(t time.Time) bool {
 	u.heardLock.Lock()
 	defer u.heardLock.Unlock()
 	return u.heard.After(t)
@@ -99,11 +99,11 @@
 }
 
 // isSuspect tells whether it has failed, and nothing has come from it since.
-func (u *Upstream) isSuspect() bool { return u.Failures > 0 && !u.HeardAfter(u.FailedAt) }
+func (u *Upstream) isSuspect() bool { return u.Failures > 0 && !u.SeenAfter(u.FailedAt) }
 
-// HasRoom tells whether it may be sent so many more prompt tokens now.
-func (u *Upstream) HasRoom(now time.Time, tokens int) bool {
-	if !u.Usable(now) || u.IsFull() || !u.MayStart(now) {
+// HasCapacity tells whether it may be sent so many more prompt tokens now.
+func (u *Upstream) HasCapacity(now time.Time, tokens int) bool {
+	if !u.Usable(now) || u.IsFull() || !u.AllowsGrant(now) {
 		return false
 	}
 	if u.isSuspect() && u.Running > 0 {
@@ -113,14 +113,14 @@
 		return true // its slots bound what it is sent
 	}
 	bound := u.Speed.Prefill() * PrefillHorizon.Seconds()
-	ahead := u.Ahead()
+	ahead := u.TokensAhead()
 	return ahead == 0 || float64(ahead+tokens) <= bound
 }
 
 // IsFull tells whether it runs as many requests as it is to be given.
 func (u *Upstream) IsFull() bool {
 	if u.Slots > 0 {
-		return u.Running+u.OthersRunning >= u.Slots
+		return u.Running+u.RunningElsewhere >= u.Slots
 	}
 	return u.Running >= u.Window.Size()
 }
@@ -130,63 +130,63 @@
 	if u.Slots == 0 {
 		return 0
 	}
-	return float64(u.Running+u.OthersRunning) / float64(u.Slots)
+	return float64(u.Running+u.RunningElsewhere) / float64(u.Slots)
 }
 
-// Ahead returns the prompt tokens, of all instances as far as known, that it has
+// TokensAhead returns the prompt tokens, of all instances as far as known, that it has
 // to read before those of a new request.
-func (u *Upstream) Ahead() int { return u.Pending + u.OthersPending }
+func (u *Upstream) TokensAhead() int { return u.PendingTokens + u.PendingElsewhere }
 
 // Usable tells whether it may get work at all.
 func (u *Upstream) Usable(now time.Time) bool {
-	avoided := now.Before(u.AvoidUntil) && !u.HeardAfter(u.FailedAt)
+	avoided := now.Before(u.CircuitOpenUntil) && !u.SeenAfter(u.FailedAt)
 	return !u.Leaving && !avoided
 }
 
 // Work is what the choice needs to know of a request.
 type Work struct {
-	// Prompt and Output are tokens; Output is what is expected, and Limit the most that may come,
+	// PromptTokens and Output are tokens; Output is what is expected, and Limit the most that may come,
 	// 0 where it isn't known.
-	Prompt int
-	Output int
-	Limit  int
+	PromptTokens   int
+	ExpectedOutput int
+	MaxOutput      int
 	// Spread is how far the output's length is from what is expected.
 	Spread Spread
-	// Chances to end in time over all upstreams, where Pick is given some of them; nil where it is
+	// CompletionProbabilities to end in time over all upstreams, where Pick is given some of them; nil where it is
 	// given all.
-	Chances *Chances
-	// Chain is the prompt's prefix sums.
-	Chain []uint64
-	// FirstIn is the time in which the first token is in time, EndIn that in which
+	CompletionProbabilities *CompletionProbabilities
+	// PrefixHashes is the prompt's prefix sums.
+	PrefixHashes []uint64
+	// FirstTokenWithin is the time in which the first token is in time, EndIn that in which
 	// the whole answer is; 0 where there is no such bound.
-	FirstIn time.Duration
-	EndIn   time.Duration
+	FirstTokenWithin time.Duration
+	EndWithin        time.Duration
 	// Zone is the availability zone that the request came to, and Region the zone's, where it is known.
 	Zone   string
 	Region string
 }
 
-// Uncached returns the prompt tokens that the upstream likely has to read.
-func (w Work) Uncached(u *Upstream) int {
-	if u.Memory == nil || len(w.Chain) == 0 {
-		return w.Prompt
+// UncachedTokens returns the prompt tokens that the upstream likely has to read.
+func (w Work) UncachedTokens(u *Upstream) int {
+	if u.PrefixIndex == nil || len(w.PrefixHashes) == 0 {
+		return w.PromptTokens
 	}
-	return max(w.Prompt-u.Memory.Cached(w.Chain)*prefix.BlockTokens, 1)
+	return max(w.PromptTokens-u.PrefixIndex.Cached(w.PrefixHashes)*prefix.BlockTokens, 1)
 }
 
 // Choice is an upstream and what was assumed of it.
 type Choice struct {
 	Upstream *Upstream
-	// Uncached prompt tokens.
-	Uncached int
+	// UncachedTokens prompt tokens.
+	UncachedTokens int
 }
 
 // Picker chooses among upstreams.
 type Picker interface {
 	// Pick returns no upstream when none may be used now. It changes nothing.
 	Pick(now time.Time, upstreams []*Upstream, w Work) Choice
-	// Sent is called when a choice is followed.
-	Sent(u *Upstream, w Work)
+	// RecordSent is called when a choice is followed.
+	RecordSent(u *Upstream, w Work)
 }
 
 // RoundRobin takes the upstreams in turn.
@@ -197,14 +197,14 @@
 	for i := range upstreams {
 		u := upstreams[(p.next+i)%len(upstreams)]
 		if u.Usable(now) {
-			return Choice{Upstream: u, Uncached: w.Uncached(u)}
+			return Choice{Upstream: u, UncachedTokens: w.UncachedTokens(u)}
 		}
 	}
 	return Choice{}
 }
 
-// Sent implements Picker.
-func (p *RoundRobin) Sent(*Upstream, Work) { p.next++ }
+// RecordSent implements Picker.
+func (p *RoundRobin) RecordSent(*Upstream, Work) { p.next++ }
 
 // LeastOutstanding takes the upstream with the fewest requests sent and not ended.
 type LeastOutstanding struct{}
@@ -220,11 +220,11 @@
 	if best == nil {
 		return Choice{}
 	}
-	return Choice{Upstream: best, Uncached: w.Uncached(best)}
+	return Choice{Upstream: best, UncachedTokens: w.UncachedTokens(best)}
 }
 
-// Sent implements Picker.
-func (LeastOutstanding) Sent(*Upstream, Work) {}
+// RecordSent implements Picker.
+func (LeastOutstanding) RecordSent(*Upstream, Work) {}
 
 // PowerOfTwo draws two upstreams and takes the one with fewer requests.
 type PowerOfTwo struct{ Random *rand.Rand }
@@ -242,8 +242,8 @@
 	if !a.Usable(now) {
 		return LeastOutstanding{}.Pick(now, upstreams, w)
 	}
-	return Choice{Upstream: a, Uncached: w.Uncached(a)}
+	return Choice{Upstream: a, UncachedTokens: w.UncachedTokens(a)}
 }
 
-// Sent implements Picker.
-func (*PowerOfTwo) Sent(*Upstream, Work) {}
+// RecordSent implements Picker.
+func (*PowerOfTwo) RecordSent(*Upstream, Work) {}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -17,7 +17,7 @@
 func upstreams(n int) []*Upstream {
 	out := make([]*Upstream, n)
 	for i := range out {
-		out[i] = &Upstream{Address: fmt.Sprint(i), Speed: estimate.NewSpeed(), Window: estimate.NewWindow(), Memory: prefix.NewMemory(100)}
+		out[i] = &Upstream{Address: fmt.Sprint(i), Speed: estimate.NewSpeed(), Window: estimate.NewWindow(), PrefixIndex: prefix.NewIndex(100)}
 	}
 	return out
 }
@@ -26,19 +26,21 @@
 
 func TestPredictivePicks(t *testing.T) {
 	chain := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
-	w := Work{Prompt: 600, Output: 10, Chain: chain}
+	w := Work{PromptTokens: 600, ExpectedOutput: 10, PrefixHashes: chain}
 	for name, c := range map[string]struct {
 		change func(us []*Upstream)
 		want   string // "" for none
 	}{
-		"the one that holds the prompt":         {func(us []*Upstream) { us[2].Memory.Add(chain) }, "2"},
-		"not one that leaves":                   {func(us []*Upstream) { us[2].Memory.Add(chain); us[2].Leaving = true; us[0].Pending = 1 }, "1"},
-		"not one that is avoided":               {func(us []*Upstream) { us[0].AvoidUntil = now.Add(1); us[1].Leaving = true }, "2"},
-		"not one with a full window":            {func(us []*Upstream) { us[0].Running, us[1].Running = 99, 99 }, "2"},
-		"the one with the least to read":        {func(us []*Upstream) { us[0].Pending, us[1].Pending, us[2].Pending = 300, 100, 200 }, "1"},
-		"counting what other instances sent":    {func(us []*Upstream) { us[0].OthersPending, us[1].OthersPending = 300, 300 }, "2"},
-		"none that would have too much to read": {func(us []*Upstream) { us[0].Pending, us[1].Pending, us[2].OthersPending = 9000, 9000, 9000 }, ""},
-		"a failed one only to test it":          {func(us []*Upstream) { us[0].Leaving, us[1].Leaving = true, true; us[2].Failures, us[2].Running = 1, 1 }, ""},
+		"the one that holds the prompt":      {func(us []*Upstream) { us[2].PrefixIndex.Add(chain) }, "2"},
+		"not one that leaves":                {func(us []*Upstream) { us[2].PrefixIndex.Add(chain); us[2].Leaving = true; us[0].PendingTokens = 1 }, "1"},
+		"not one that is avoided":            {func(us []*Upstream) { us[0].CircuitOpenUntil = now.Add(1); us[1].Leaving = true }, "2"},
+		"not one with a full window":         {func(us []*Upstream) { us[0].Running, us[1].Running = 99, 99 }, "2"},
+		"the one with the least to read":     {func(us []*Upstream) { us[0].PendingTokens, us[1].PendingTokens, us[2].PendingTokens = 300, 100, 200 }, "1"},
+		"counting what other instances sent": {func(us []*Upstream) { us[0].PendingElsewhere, us[1].PendingElsewhere = 300, 300 }, "2"},
+		"none that would have too much to read": {func(us []*Upstream) {
+			us[0].PendingTokens, us[1].PendingTokens, us[2].PendingElsewhere = 9000, 9000, 9000
+		}, ""},
+		"a failed one only to test it": {func(us []*Upstream) { us[0].Leaving, us[1].Leaving = true, true; us[2].Failures, us[2].Running = 1, 1 }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,13 +61,13 @@
 	is := is.New(t)
 	us := upstreams(5000)
 	p := predictive()
-	first := Work{Prompt: 640, Chain: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
+	first := Work{PromptTokens: 640, PrefixHashes: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
 	holder := us[4321]
-	holder.Memory.Add(first.Chain)
-	p.Sent(holder, first)
-	longer := Work{Prompt: 900, Chain: append(append([]uint64{}, first.Chain...), 11, 12, 13)}
+	holder.PrefixIndex.Add(first.PrefixHashes)
+	p.RecordSent(holder, first)
+	longer := Work{PromptTokens: 900, PrefixHashes: append(append([]uint64{}, first.PrefixHashes...), 11, 12, 13)}
 	is.Equal(p.Pick(now, us, first).Upstream, holder)
-	is.Equal(p.Pick(now, us, Work{Prompt: 640, Chain: longer.Chain[:8]}).Upstream != nil, true)
+	is.Equal(p.Pick(now, us, Work{PromptTokens: 640, PrefixHashes: longer.PrefixHashes[:8]}).Upstream != nil, true)
 	for _, u := range us {
 		u.Leaving = true
 	}
@@ -82,7 +84,7 @@
 	for _, want := range []int{0, 2, 2, 0} {
 		u := rr.Pick(now, us, Work{}).Upstream
 		is.Equal(u, us[want])
-		rr.Sent(u, Work{})
+		rr.RecordSent(u, Work{})
 	}
 	two := &PowerOfTwo{Random: rand.New(rand.NewPCG(1, 2))}
 	for range 100 {
--- a/internal/balancer/chance.go
+++ b/internal/balancer/chance.go
@@ -10,17 +10,17 @@
 // callers' estimates are spread; nothing is longer than its limit. It isn't known where nothing is
 // known of the upstream's pace, and is 1 where nothing is known of the length.
 func (w Work) chance(u *Upstream, first time.Duration) (p float64, known bool) {
-	if w.EndIn <= 0 || w.Output <= 0 {
+	if w.EndWithin <= 0 || w.ExpectedOutput <= 0 {
 		return 1, true
 	}
-	if !u.Speed.KnowsPace() {
+	if !u.Speed.KnowsInterval() {
 		return 0, false
 	}
-	most := float64(w.EndIn-first) / float64(u.Speed.Decode(1, 1)) // tokens
-	if w.Limit > 0 && most >= float64(w.Limit) {
+	most := float64(w.EndWithin-first) / float64(u.Speed.PredictDecode(1, 1)) // tokens
+	if w.MaxOutput > 0 && most >= float64(w.MaxOutput) {
 		return 1, true
 	}
-	return w.Spread.below(most / float64(w.Output)), true
+	return w.Spread.below(most / float64(w.ExpectedOutput)), true
 }
 
 // Spread is how far lengths are from what is expected of them: the Deviation is the standard deviation
@@ -57,24 +57,24 @@
 	return math.Exp(s.Deviation * math.Sqrt2 * math.Erfinv(2*p-1))
 }
 
-// Chances are those of one request over all upstreams that work, whether they have room or not.
-type Chances struct {
+// CompletionProbabilities are those of one request over all upstreams that work, whether they have room or not.
+type CompletionProbabilities struct {
 	// Best of them, and the Mean, which is assumed of upstreams whose pace isn't known. Assuming the
 	// best would send long answers to the slowest, which are the last to be known.
 	Best, Mean float64
-	// LeastTokens is the length that an upstream must be able to write in time to get the request at
+	// MinTokens is the length that an upstream must be able to write in time to get the request at
 	// all; 0 is any.
-	LeastTokens float64
+	MinTokens float64
 }
 
-// ChancesOf looks at all upstreams that work.
-func ChancesOf(now time.Time, upstreams []*Upstream, w Work) *Chances {
+// NewCompletionProbabilities looks at all upstreams that work.
+func NewCompletionProbabilities(now time.Time, upstreams []*Upstream, w Work) *CompletionProbabilities {
 	best, sum, n := 0.0, 0.0, 0
 	for _, u := range upstreams {
 		if !u.Usable(now) {
 			continue
 		}
-		p, known := w.chance(u, u.Speed.FirstToken(w.Prompt))
+		p, known := w.chance(u, u.Speed.PredictFirstToken(w.PromptTokens))
 		if !known {
 			continue
 		}
@@ -83,9 +83,9 @@
 		n++
 	}
 	if n == 0 {
-		return &Chances{Best: 1, Mean: 1}
+		return &CompletionProbabilities{Best: 1, Mean: 1}
 	}
-	return &Chances{Best: best, Mean: sum / float64(n), LeastTokens: w.lengthOf(leastChance * best)}
+	return &CompletionProbabilities{Best: best, Mean: sum / float64(n), MinTokens: w.lengthOf(leastChance * best)}
 }
 
 // lengthOf is the length that the answer exceeds with a probability of 1-p.
@@ -93,17 +93,17 @@
 	if p <= 0 {
 		return 0
 	}
-	return float64(w.Output) * w.Spread.quantile(p)
+	return float64(w.ExpectedOutput) * w.Spread.quantile(p)
 }
 
 // isTooSlow tells whether an upstream can't write enough in time even if it begins at once. It costs a
 // tenth of working out the chance.
-func (c *Chances) isTooSlow(u *Upstream, w Work) bool {
-	return c.LeastTokens > 0 && u.Speed.KnowsPace() && float64(w.EndIn) < c.LeastTokens*float64(u.Speed.Decode(1, 1))
+func (c *CompletionProbabilities) isTooSlow(u *Upstream, w Work) bool {
+	return c.MinTokens > 0 && u.Speed.KnowsInterval() && float64(w.EndWithin) < c.MinTokens*float64(u.Speed.PredictDecode(1, 1))
 }
 
 // at is the chance at one of the upstreams.
-func (c *Chances) at(u *Upstream, w Work, first time.Duration) float64 {
+func (c *CompletionProbabilities) at(u *Upstream, w Work, first time.Duration) float64 {
 	if p, known := w.chance(u, first); known {
 		return p
 	}
--- a/internal/balancer/chance_test.go
+++ b/internal/balancer/chance_test.go
@@ -14,18 +14,18 @@
 func TestTheChanceToEndIsThatOfALogNormalLength(t *testing.T) {
 	is := is.New(t)
 	u := engine("u", 100_000, 10*time.Millisecond, 0)
-	pace := float64(u.Speed.Decode(1, 1))
-	w := Work{Prompt: 100, Output: 500, Limit: 4000, Spread: NewSpread(0.48)}
+	pace := float64(u.Speed.PredictDecode(1, 1))
+	w := Work{PromptTokens: 100, ExpectedOutput: 500, MaxOutput: 4000, Spread: NewSpread(0.48)}
 	for _, c := range []struct{ tokens, want float64 }{{500, 0.5}, {1000, 0.926}, {250, 0.074}, {0, 0}, {4000, 1}} {
-		w.EndIn = max(time.Duration(c.tokens*pace), 1)
+		w.EndWithin = max(time.Duration(c.tokens*pace), 1)
 		p, known := w.chance(u, 0)
 		is.True(known)
 		is.True(math.Abs(p-c.want) < 0.01)
 	}
-	w.EndIn = time.Second
+	w.EndWithin = time.Second
 	_, known := w.chance(&Upstream{Speed: estimate.NewSpeed()}, 0)
 	is.True(!known) // nothing is known of its pace
-	w.Output = 0
+	w.ExpectedOutput = 0
 	p, known := w.chance(&Upstream{Speed: estimate.NewSpeed()}, 0)
 	is.True(known && p == 1) // nor of the length
 }
@@ -34,11 +34,11 @@
 // short one takes it.
 func TestALongAnswerWaitsForAnEngineOnWhichItEnds(t *testing.T) {
 	is := is.New(t)
-	p := &Aimed{Weights: DefaultAimedWeights}
+	p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
 	slow, fast := engine("slow", 16_000, 13*time.Millisecond, 0), engine("fast", 100_000, 3*time.Millisecond, 10)
-	long := Work{Prompt: 500, Output: 1400, Limit: 3000, Spread: NewSpread(0.48), FirstIn: time.Second, EndIn: 12 * time.Second}
+	long := Work{PromptTokens: 500, ExpectedOutput: 1400, MaxOutput: 3000, Spread: NewSpread(0.48), FirstTokenWithin: time.Second, EndWithin: 12 * time.Second}
 	short := long
-	short.Output = 100
+	short.ExpectedOutput = 100
 	both := []*Upstream{slow, fast}
 	is.True(p.Pick(time.Now(), both, long).Upstream == nil)
 	is.Equal(p.Pick(time.Now(), both, short).Upstream.ID, "slow")
@@ -50,10 +50,10 @@
 // pace isn't known doesn't look better for that.
 func TestALongAnswerDoesNotTryEnginesOfUnknownPaceFirst(t *testing.T) {
 	is := is.New(t)
-	p := &Aimed{Weights: DefaultAimedWeights}
+	p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
 	unknown := &Upstream{ID: "unknown", Zone: "bole", Slots: 10, Speed: estimate.NewSpeed()}
 	list := []*Upstream{unknown, engine("slow", 16_000, 13*time.Millisecond, 0), engine("fast", 100_000, 3*time.Millisecond, 5)}
-	long := Work{Prompt: 500, Output: 1400, Limit: 3000, Spread: NewSpread(0.48), FirstIn: time.Second, EndIn: 12 * time.Second}
+	long := Work{PromptTokens: 500, ExpectedOutput: 1400, MaxOutput: 3000, Spread: NewSpread(0.48), FirstTokenWithin: time.Second, EndWithin: 12 * time.Second}
 	is.Equal(p.Pick(time.Now(), list, long).Upstream.ID, "fast")
 	is.Equal(p.Pick(time.Now(), []*Upstream{unknown}, long).Upstream.ID, "unknown") // until anything is known
 }
--- a/internal/balancer/predictive.go
+++ b/internal/balancer/predictive.go
@@ -48,13 +48,13 @@
 	var best Choice
 	bestCost := time.Duration(0)
 	consider := func(u *Upstream) {
-		uncached := w.Uncached(u)
-		if !u.HasRoom(now, uncached) {
+		uncached := w.UncachedTokens(u)
+		if !u.HasCapacity(now, uncached) {
 			return
 		}
 		cost := p.cost(u, w, uncached)
 		if best.Upstream == nil || cost < bestCost {
-			best, bestCost = Choice{Upstream: u, Uncached: uncached}, cost
+			best, bestCost = Choice{Upstream: u, UncachedTokens: uncached}, cost
 		}
 	}
 	p.each(upstreams, w, consider)
@@ -62,9 +62,9 @@
 }
 
 func (p *Predictive) cost(u *Upstream, w Work, uncached int) time.Duration {
-	first := u.Speed.FirstToken(u.Ahead() + uncached)
-	reading := time.Duration(float64(u.Speed.FirstToken(uncached)) * p.PrefillWeight)
-	writing := time.Duration(float64(u.Speed.Decode(w.Output, 1)) * decodeWeight)
+	first := u.Speed.PredictFirstToken(u.TokensAhead() + uncached)
+	reading := time.Duration(float64(u.Speed.PredictFirstToken(uncached)) * p.PrefillWeight)
+	writing := time.Duration(float64(u.Speed.PredictDecode(w.ExpectedOutput, 1)) * decodeWeight)
 	return first + reading + writing
 }
 
@@ -77,8 +77,8 @@
 		}
 		return
 	}
-	for at := len(w.Chain); at > 0; at /= 2 {
-		if u, ok := p.affinity.Get(w.Chain[at-1]); ok {
+	for at := len(w.PrefixHashes); at > 0; at /= 2 {
+		if u, ok := p.affinity.Get(w.PrefixHashes[at-1]); ok {
 			f(u)
 		}
 	}
@@ -89,10 +89,10 @@
 	}
 }
 
-// Sent implements Picker. It records who was sent the prefix, at the lengths that
+// RecordSent implements Picker. It records who was sent the prefix, at the lengths that
 // each looks up.
-func (p *Predictive) Sent(u *Upstream, w Work) {
-	for at := len(w.Chain); at > 0; at /= 2 {
-		p.affinity.Add(w.Chain[at-1], u)
+func (p *Predictive) RecordSent(u *Upstream, w Work) {
+	for at := len(w.PrefixHashes); at > 0; at /= 2 {
+		p.affinity.Add(w.PrefixHashes[at-1], u)
 	}
 }
--- a/internal/balancer/rate.go
+++ b/internal/balancer/rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// NamedLimit is the limit that an upstream has named: the requests a second that it takes from all instances.
-type NamedLimit struct {
+// AdvertisedLimit is the limit that an upstream has named: the requests a second that it takes from all instances.
+type AdvertisedLimit struct {
 	// Set tells whether there is one.
 	Set       bool
 	PerSecond float64
@@ -66,31 +66,31 @@
 
 // isWithinRate tells whether its RateLimit allows one more request now.
 func (u *Upstream) isWithinRate(now time.Time) bool {
-	if !u.Rate.Set {
+	if !u.RateLimit.Set {
 		return true
 	}
-	u.tokens.fill(now, u.Rate)
+	u.tokens.fill(now, u.RateLimit)
 	return u.tokens.left >= 1
 }
 
 // noteRate records that it was granted a request.
 func (u *Upstream) noteRate(now time.Time) {
-	if u.Rate.Set {
-		u.tokens.fill(now, u.Rate)
+	if u.RateLimit.Set {
+		u.tokens.fill(now, u.RateLimit)
 		u.tokens.left--
 	}
 }
 
-// Saved returns how many requests its RateLimit allows at once.
-func (u *Upstream) Saved(now time.Time) float64 {
-	u.tokens.fill(now, u.Rate)
+// AvailableTokens returns how many requests its RateLimit allows at once.
+func (u *Upstream) AvailableTokens(now time.Time) float64 {
+	u.tokens.fill(now, u.RateLimit)
 	return u.tokens.left
 }
 
-// SetRate takes its limit. What was saved up under one of another kind is lost.
-func (u *Upstream) SetRate(l RateLimit) {
-	if l.Set != u.Rate.Set || l.Probabilistic != u.Rate.Probabilistic {
+// SetRateLimit takes its limit. What was saved up under one of another kind is lost.
+func (u *Upstream) SetRateLimit(l RateLimit) {
+	if l.Set != u.RateLimit.Set || l.Probabilistic != u.RateLimit.Probabilistic {
 		u.tokens = tokens{}
 	}
-	u.Rate = l
+	u.RateLimit = l
 }
--- a/internal/balancer/rate_test.go
+++ b/internal/balancer/rate_test.go
@@ -10,8 +10,8 @@
 // granted counts what an upstream is granted in so long, where callers always want more.
 func granted(u *Upstream, from time.Time, length time.Duration) (n int) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(5 * time.Millisecond) {
-		for u.MayStart(now) {
-			u.NoteStart(now)
+		for u.AllowsGrant(now) {
+			u.RecordGrant(now)
 			n++
 		}
 	}
@@ -32,9 +32,9 @@
 			is := is.New(t)
 			now := time.Now()
 			u := &Upstream{}
-			is.True(u.MayStart(now))
-			u.SetRate(RateLimit{Set: true, PerSecond: c.perSecond})
-			is.True(!u.MayStart(now))
+			is.True(u.AllowsGrant(now))
+			u.SetRateLimit(RateLimit{Set: true, PerSecond: c.perSecond})
+			is.True(!u.AllowsGrant(now))
 			n := granted(u, now, 4*time.Second)
 			is.True(n >= c.least && n <= c.most)
 		})
@@ -45,15 +45,15 @@
 	is := is.New(t)
 	now := time.Now()
 	u := &Upstream{}
-	u.SetRate(RateLimit{Set: true, PerSecond: 2})
-	is.True(!u.MayStart(now))
+	u.SetRateLimit(RateLimit{Set: true, PerSecond: 2})
+	is.True(!u.AllowsGrant(now))
 	n := granted(u, now.Add(time.Hour), 5*time.Millisecond)
 	is.Equal(n, 1)
-	u.SetRate(RateLimit{Set: true, PerSecond: 50}) // a limit that rises
+	u.SetRateLimit(RateLimit{Set: true, PerSecond: 50}) // a limit that rises
 	n = granted(u, now.Add(2*time.Hour), time.Second)
 	is.True(n >= 45 && n <= 54)
-	u.SetRate(RateLimit{})
-	is.True(u.MayStart(now.Add(3 * time.Hour)))
+	u.SetRateLimit(RateLimit{})
+	is.True(u.AllowsGrant(now.Add(3 * time.Hour)))
 }
 
 // Each of many instances that decide alone has a small part, and hardly any of them has one at the same time.
@@ -63,8 +63,8 @@
 	total := 0
 	for range 600 {
 		u := &Upstream{}
-		u.SetRate(RateLimit{Set: true, PerSecond: 1.9 / 600, Probabilistic: true})
-		is.True(!u.MayStart(now))
+		u.SetRateLimit(RateLimit{Set: true, PerSecond: 1.9 / 600, Probabilistic: true})
+		is.True(!u.AllowsGrant(now))
 		total += granted(u, now.Add(time.Hour), 30*time.Second)
 	}
 	is.True(total >= 20 && total <= 100) // 57 on the average, with a deviation of 8
--- a/internal/balancer/starts.go
+++ b/internal/balancer/starts.go
@@ -10,9 +10,9 @@
 // more than a second may arrive within one.
 const startWindow = 1100 * time.Millisecond
 
-// StartLimits bound how many requests one upstream is granted in any startWindow: an upstream that
+// GrantLimits bound how many requests one upstream is granted in any startWindow: an upstream that
 // has just started, or lost what it had in memory, crashes beyond some a second.
-type StartLimits struct {
+type GrantLimits struct {
 	// Set tells whether there are any.
 	Set bool
 	// Cold is how many it gets while it is believed to be cold.
@@ -45,16 +45,16 @@
 	return n
 }
 
-// NoteStart records that it was granted a request.
-func (u *Upstream) NoteStart(now time.Time) {
-	if u.Limits.Set {
+// RecordGrant records that it was granted a request.
+func (u *Upstream) RecordGrant(now time.Time) {
+	if u.GrantLimits.Set {
 		u.starts.add(now)
 	}
 	u.noteRate(now)
 }
 
-// MayStart tells whether its limits allow one more request now.
-func (u *Upstream) MayStart(now time.Time) bool {
+// AllowsGrant tells whether its limits allow one more request now.
+func (u *Upstream) AllowsGrant(now time.Time) bool {
 	if !u.isWithinRate(now) {
 		return false
 	}
@@ -65,55 +65,55 @@
 // startLimit returns how many requests it may be granted in startWindow, -1 for any number.
 func (u *Upstream) startLimit(now time.Time) int {
 	switch {
-	case !u.Limits.Set:
+	case !u.GrantLimits.Set:
 		return -1
 	case now.Before(u.movedUntil):
-		return min(u.Limits.Moved, u.Limits.Cold)
+		return min(u.GrantLimits.Moved, u.GrantLimits.Cold)
 	case now.Before(u.ColdUntil):
-		return u.Limits.Cold
+		return u.GrantLimits.Cold
 	case u.Failures > 0:
-		return max(u.Limits.Cold, 1) // or nobody would find out that it works
-	case u.Limits.Warm > 0:
-		return u.Limits.Warm
+		return max(u.GrantLimits.Cold, 1) // or nobody would find out that it works
+	case u.GrantLimits.Warm > 0:
+		return u.GrantLimits.Warm
 	default:
 		return -1
 	}
 }
 
-// Copy returns what is known of it now, but for its work and its memory, which stay where they are.
-func (u *Upstream) Copy() *Upstream {
+// CopyState returns what is known of it now, but for its work and its memory, which stay where they are.
+func (u *Upstream) CopyState() *Upstream {
 	return &Upstream{
-		ID:           u.ID,
-		Born:         u.Born,
-		Speed:        u.Speed,
-		Failures:     u.Failures,
-		FailedAt:     u.FailedAt,
-		AvoidUntil:   u.AvoidUntil,
-		FailureShare: u.FailureShare,
-		ColdUntil:    u.ColdUntil,
-		starts:       slices.Clone(u.starts),
+		ID:               u.ID,
+		Incarnation:      u.Incarnation,
+		Speed:            u.Speed,
+		Failures:         u.Failures,
+		FailedAt:         u.FailedAt,
+		CircuitOpenUntil: u.CircuitOpenUntil,
+		FailureShare:     u.FailureShare,
+		ColdUntil:        u.ColdUntil,
+		starts:           slices.Clone(u.starts),
 	}
 }
 
-// Move makes it take the place of what was known of the same process in another shard, up to now.
-func (u *Upstream) Move(now time.Time, before *Upstream) {
+// MoveFrom makes it take the place of what was known of the same process in another shard, up to now.
+func (u *Upstream) MoveFrom(now time.Time, before *Upstream) {
 	u.movedUntil = now.Add(startWindow)
-	if before == nil || before.Born != u.Born {
+	if before == nil || before.Incarnation != u.Incarnation {
 		return
 	}
 	u.Speed = before.Speed
-	u.Failures, u.FailedAt, u.AvoidUntil, u.FailureShare = before.Failures, before.FailedAt, before.AvoidUntil, before.FailureShare
+	u.Failures, u.FailedAt, u.CircuitOpenUntil, u.FailureShare = before.Failures, before.FailedAt, before.CircuitOpenUntil, before.FailureShare
 	u.starts = slices.Clone(before.starts)
-	u.KeepCold(before.ColdUntil)
+	u.KeepColdUntil(before.ColdUntil)
 }
 
 // IsCold tells whether it is believed to be cold. One that has failed may have started again.
 func (u *Upstream) IsCold(now time.Time) bool {
-	return u.Limits.Set && (now.Before(u.ColdUntil) || u.Failures > 0)
+	return u.GrantLimits.Set && (now.Before(u.ColdUntil) || u.Failures > 0)
 }
 
-// KeepCold makes it count as cold until a time at least.
-func (u *Upstream) KeepCold(until time.Time) {
+// KeepColdUntil makes it count as cold until a time at least.
+func (u *Upstream) KeepColdUntil(until time.Time) {
 	if until.After(u.ColdUntil) {
 		u.ColdUntil = until
 	}
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -96,12 +96,12 @@
 		Share:        a.organisation.Share,
 		Arrived:      r.Arrived,
 		Deadline:     r.Deadline,
-		FirstToken:   a.tier.FirstToken,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Chain:        r.Chain,
+		MaxTimeToFirstToken:   a.tier.FirstToken,
+		PromptTokens:       r.Prompt,
+		MaxOutput:       r.Output,
+		PrefixHashes:        r.Chain,
 		Bytes:        len(r.Body),
-		Exclude:      a.exclude,
+		FailedUpstream:      a.exclude,
 	})
 }
 
@@ -135,12 +135,12 @@
 func (a *attempts) send(ctx context.Context, g *scheduler.Grant, call upstream.Call) upstream.Result {
 	call.OnFirst = sync.OnceFunc(func() {
 		a.dispatcher.o.Metrics.FirstToken(a.tier.Name, time.Since(a.request.Arrived))
-		a.pool.FirstToken(g)
+		a.pool.RecordFirstToken(g)
 	})
 	if !a.request.Stream && a.request.Kind != request.Service {
 		// A whole answer doesn't show its first token: the prompt counts as read
 		// after the time predicted for it.
-		t := time.AfterFunc(g.Predicted(), func() {
+		t := time.AfterFunc(g.PredictedFirstToken(), func() {
 			a.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.AssumeFirstToken(now, g) })
 		})
 		defer t.Stop()
@@ -171,18 +171,18 @@
 	a.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 		switch result.Status {
 		case upstream.Done:
-			return core.Done(now, g, result.Output)
+			return core.RecordCompleted(now, g, result.Output)
 		case upstream.Busy:
-			return core.Busy(now, g)
+			return core.RecordBusy(now, g)
 		case upstream.Cancelled, upstream.Timeout:
-			return core.Cancelled(now, g)
+			return core.RecordCancelled(now, g)
 		case upstream.NotWritten:
 			if isOwnDoing(result.Err) {
-				return core.Cancelled(now, g)
+				return core.RecordCancelled(now, g)
 			}
-			return core.Failed(now, g)
+			return core.RecordFailure(now, g)
 		default:
-			return core.Failed(now, g)
+			return core.RecordFailure(now, g)
 		}
 	})
 	a.learnOfCrash(g.Upstream.Address, result)
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -115,10 +115,10 @@
 	list := []platform.Instance{{Address: "10.0.0.1:1", Zone: "bole", Set: "readers", State: platform.Live}}
 	d.SetInstances(list)
 	p := d.pool("readers")
-	submit := func(prompt int) chan pool.Turn {
-		turns := make(chan pool.Turn, 1)
+	submit := func(prompt int) chan pool.Decision {
+		turns := make(chan pool.Decision, 1)
 		now := time.Now()
-		r := &scheduler.Request{Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(time.Hour), Prompt: prompt, Output: 1, Value: turns}
+		r := &scheduler.Request{Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(time.Hour), PromptTokens: prompt, MaxOutput: 1, Value: turns}
 		p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.Submit(now, r) })
 		return turns
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -260,11 +260,11 @@
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	picker := balancer.NewPredictive(config.DefaultPrefillWeight, random)
-	core := scheduler.New(scheduler.Options{Picker: picker, Limits: d.o.Limits, MemoryBlocks: memoryBlocks, StrictTiers: true})
+	core := scheduler.New(scheduler.Options{Picker: picker, Limits: d.o.Limits, PrefixIndexBlocks: memoryBlocks, StrictTiers: true})
 	core.SetMembers(d.membersOf(name))
 	o := pool.Options{Core: core, Picker: picker, Announce: d.o.Announce}
 	if d.o.Pressure != nil {
-		o.Press = func(rank int) { d.o.Pressure(name, rank) }
+		o.ShedLowerAtPeers = func(rank int) { d.o.Pressure(name, rank) }
 	}
 	p := pool.New(o)
 	d.pools[name] = p
@@ -307,12 +307,12 @@
 // CacheEvent implements cacheevents.Sink.
 func (d *Dispatcher) CacheEvent(address string, added, dropped []uint64) {
 	d.o.Metrics.Count("tacktally_cache_events_total")
-	d.eachCore(func(c *scheduler.Core) { c.CacheEvent(address, added, dropped) })
+	d.eachCore(func(c *scheduler.Core) { c.ApplyCacheEvent(address, added, dropped) })
 }
 
 // CacheCleared implements cacheevents.Sink.
 func (d *Dispatcher) CacheCleared(address string) {
-	d.eachCore(func(c *scheduler.Core) { c.CacheCleared(address) })
+	d.eachCore(func(c *scheduler.Core) { c.ClearCache(address) })
 }
 
 // eachCore calls f for each scheduler under its lock.
@@ -329,7 +329,7 @@
 func (d *Dispatcher) SetOthers(instance string, pending map[string]int) {
 	for _, p := range d.allPools() {
 		p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
-			core.SetOthers(instance, scheduler.Load{Pending: pending})
+			core.SetInstanceLoad(instance, scheduler.Load{Pending: pending})
 			return core.Poll(now)
 		})
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -24,7 +24,7 @@
 			is.True(near(truth))
 			observe(truth/3, 20)
 			is.True(near(truth / 3))
-			first, _ := s.Idle(2000, 0)
+			first, _ := s.PredictIdle(2000, 0)
 			is.True(first < 2*time.Duration(2000/truth*float64(time.Second))+50*time.Millisecond) // the best is kept
 		})
 	}
@@ -33,7 +33,7 @@
 func TestUnknownUpstreamIsExpectedToBeFast(t *testing.T) {
 	is := is.New(t)
 	s := NewSpeed()
-	first, whole := s.Idle(1_000_000, 1000)
+	first, whole := s.PredictIdle(1_000_000, 1000)
 	is.Equal(first+whole, time.Duration(0))
 	is.True(!s.Known())
 }
@@ -44,19 +44,19 @@
 	w := NewWindow()
 	before := w.Size()
 	for range 40 {
-		w.Good(0) // the window wasn't what bound it
+		w.RecordOnTime(0) // the window wasn't what bound it
 	}
 	is.Equal(w.Size(), before)
 	for range 40 {
-		w.Good(w.Size())
+		w.RecordOnTime(w.Size())
 	}
 	is.True(w.Size() > before)
 	grown := w.Size()
-	w.Late(now)
-	w.Late(now.Add(time.Millisecond)) // the same excess
+	w.RecordLate(now)
+	w.RecordLate(now.Add(time.Millisecond)) // the same excess
 	is.True(w.Size() < grown && w.Size() >= int(decrease*float64(grown)))
 	for i := range 100 {
-		w.Late(now.Add(time.Duration(i) * time.Second))
+		w.RecordLate(now.Add(time.Duration(i) * time.Second))
 	}
 	is.Equal(w.Size(), minWindow)
 }
@@ -67,11 +67,11 @@
 	there, here := NewSpeed(), NewSpeed()
 	is.Equal(there.Rates(), Rates{}) // nothing was observed
 	here.Adopt(there.Rates())
-	is.True(!here.Known() && !here.KnowsPace())
+	is.True(!here.Known() && !here.KnowsInterval())
 	there.ObserveFirstToken(2000, 100*time.Millisecond)
 	there.ObserveInterval(12 * time.Millisecond)
 	here.Adopt(there.Rates())
-	is.True(here.Known() && here.KnowsPace())
+	is.True(here.Known() && here.KnowsInterval())
 	is.Equal(here.Rates(), there.Rates())
 }
 
--- a/internal/estimate/speed.go
+++ b/internal/estimate/speed.go
@@ -52,10 +52,10 @@
 	return s
 }
 
-// Idle predicts the first token and the whole of an answer by an upstream that has
+// PredictIdle predicts the first token and the whole of an answer by an upstream that has
 // nothing else to do, from the best that was learned of it. Of an upstream hardly
 // observed the best is expected, so that it can be.
-func (s *Speed) Idle(prompt, output int) (first, whole time.Duration) {
+func (s *Speed) PredictIdle(prompt, output int) (first, whole time.Duration) {
 	if !s.Known() {
 		return 0, 0
 	}
@@ -69,8 +69,8 @@
 // Prefill returns the learned rate of reading prompts, in tokens a second.
 func (s *Speed) Prefill() float64 { return s.prefill }
 
-// KnowsPace tells whether the time between output tokens was ever observed.
-func (s *Speed) KnowsPace() bool { return s.observedStep > 0 }
+// KnowsInterval tells whether the time between output tokens was ever observed.
+func (s *Speed) KnowsInterval() bool { return s.observedStep > 0 }
 
 // Rates are what one instance has learned of an upstream's speed, for another one.
 type Rates struct {
@@ -109,14 +109,14 @@
 // Interval returns the learned time between output tokens.
 func (s *Speed) Interval() time.Duration { return seconds(s.interval) }
 
-// FirstToken predicts the time to read so many prompt tokens.
-func (s *Speed) FirstToken(tokens int) time.Duration {
+// PredictFirstToken predicts the time to read so many prompt tokens.
+func (s *Speed) PredictFirstToken(tokens int) time.Duration {
 	return seconds(float64(tokens)/s.prefill + s.interval)
 }
 
-// Decode predicts the time to write so many tokens after the first, if extra
+// PredictDecode predicts the time to write so many tokens after the first, if extra
 // sequences join those that run now.
-func (s *Speed) Decode(tokens, extra int) time.Duration {
+func (s *Speed) PredictDecode(tokens, extra int) time.Duration {
 	stretch := 1 + intervalPerSequence*float64(extra)
 	return seconds(float64(tokens) * s.interval * stretch)
 }
@@ -127,7 +127,7 @@
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	predicted := s.FirstToken(tokens).Seconds()
+	predicted := s.PredictFirstToken(tokens).Seconds()
 	ratio := clamp(predicted/took.Seconds(), 1/maxStep, maxStep)
 	s.prefill = clamp(s.prefill*math.Pow(ratio, s.gain(&s.observed)), minSpeed, maxSpeed)
 	s.bestPrefill = max(s.bestPrefill, s.prefill)
--- a/internal/estimate/window.go
+++ b/internal/estimate/window.go
@@ -28,16 +28,16 @@
 // Size returns the number of sequences allowed, at least 1.
 func (w *Window) Size() int { return int(w.size) }
 
-// Good records a first token in good time while so many were outstanding.
-func (w *Window) Good(outstanding int) {
+// RecordOnTime records a first token in good time while so many were outstanding.
+func (w *Window) RecordOnTime(outstanding int) {
 	if float64(outstanding)+1 < w.size {
 		return // the window wasn't what bound it
 	}
 	w.size = min(w.size+1/w.size, maxWindow)
 }
 
-// Late records a first token that came late, or a refusal by the upstream.
-func (w *Window) Late(now time.Time) {
+// RecordLate records a first token that came late, or a refusal by the upstream.
+func (w *Window) RecordLate(now time.Time) {
 	if now.Sub(w.decreased) < decreasePause {
 		return
 	}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -114,7 +114,7 @@
 		core := scheduler.New(scheduler.Options{
 			Picker:       p.Picker(random),
 			Limits:       queue.Limits{MaxItems: 2000, MaxBytes: 1 << 40},
-			MemoryBlocks: memoryBlocks,
+			PrefixIndexBlocks: memoryBlocks,
 			Unqueued:     p.Unqueued,
 			StrictTiers:  true,
 		})
@@ -134,7 +134,7 @@
 			w.after(cacheEventLag, func() {
 				for _, i := range w.instances {
 					if !i.dead && !w.policy.Unqueued {
-						i.core.CacheEvent(address, added, dropped)
+						i.core.ApplyCacheEvent(address, added, dropped)
 					}
 				}
 			})
@@ -186,10 +186,10 @@
 		Share:        1,
 		Arrived:      epoch.Add(j.arrival.at),
 		Deadline:     epoch.Add(j.arrival.at + c.timeout),
-		FirstToken:   c.firstToken,
-		Prompt:       j.arrival.prompt,
-		Output:       c.limit,
-		Chain:        j.arrival.chain,
+		MaxTimeToFirstToken:   c.firstToken,
+		PromptTokens:       j.arrival.prompt,
+		MaxOutput:       c.limit,
+		PrefixHashes:        j.arrival.chain,
 		Bytes:        j.arrival.prompt * 4,
 		Value:        j,
 	}
@@ -203,7 +203,7 @@
 		j := g.Request.Value.(*job)
 		j.grant = g
 		w.after(hop, func() { w.engines[g.Upstream.Address].begin(j) })
-		if i.core.IsLong(g) {
+		if i.core.HasLongPrefill(g) {
 			i.tell()
 		}
 	}
@@ -232,7 +232,7 @@
 			if other.dead || w.cut {
 				return
 			}
-			other.core.SetOthers(i.name, scheduler.Load{Pending: pending})
+			other.core.SetInstanceLoad(i.name, scheduler.Load{Pending: pending})
 			other.apply(other.core.Poll(w.clock()))
 		})
 	}
@@ -325,8 +325,8 @@
 		return
 	}
 	j.first = w.now - j.arrival.at
-	long := j.instance.core.IsLong(j.grant)
-	j.instance.apply(j.instance.core.FirstToken(w.clock(), j.grant))
+	long := j.instance.core.HasLongPrefill(j.grant)
+	j.instance.apply(j.instance.core.RecordFirstToken(w.clock(), j.grant))
 	if long {
 		j.instance.tell()
 	}
@@ -341,7 +341,7 @@
 	if j.resumed {
 		return
 	}
-	j.instance.apply(j.instance.core.Done(w.clock(), j.grant, j.arrival.output))
+	j.instance.apply(j.instance.core.RecordCompleted(w.clock(), j.grant, j.arrival.output))
 }
 
 // timeOut ends a request whose caller waits no longer; the engine is told.
@@ -362,7 +362,7 @@
 	if j.sequence != nil {
 		w.engines[j.grant.Upstream.Address].model.Cancel(j.sequence)
 	}
-	j.instance.apply(j.instance.core.Cancelled(w.clock(), j.grant))
+	j.instance.apply(j.instance.core.RecordCancelled(w.clock(), j.grant))
 }
 
 // kill ends an instance: its callers turn to another one, its engines are cut off.
@@ -393,7 +393,7 @@
 func (w *world) forget(gone *simInstance) {
 	for _, i := range w.instances {
 		if i != gone {
-			i.core.SetOthers(gone.name, scheduler.Load{})
+			i.core.SetInstanceLoad(gone.name, scheduler.Load{})
 		}
 	}
 }
--- a/internal/faults/matrix_test.go
+++ b/internal/faults/matrix_test.go
@@ -124,7 +124,7 @@
 	if c.model {
 		c.body = fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":5,"messages":[{"role":"user","content":%q}]}`, modelName, c.body)
 	}
-	c.record.Expect(c.body, c.whole())
+	c.record.ExpectBody(c.body, c.whole())
 	c.drive()
 	f.strike(c)
 	c.repeat(400 * time.Millisecond)
@@ -243,7 +243,7 @@
 	if r.outcome == "" {
 		return
 	}
-	c.record.Answer(history.Answer{Key: c.body, Outcome: r.outcome, Reason: r.problem.Reason, Body: text(r.body), Sent: begun, Got: time.Now()})
+	c.record.RecordAttempt(history.Attempt{Key: c.body, Outcome: r.outcome, Reason: r.problem.Reason, Body: text(r.body), Sent: begun, Received: time.Now()})
 }
 
 // text leaves out the event IDs of a stream, which name the run and not its content.
@@ -277,12 +277,12 @@
 	t.Helper()
 	for _, call := range c.fleet.service.Calls() {
 		if call.Body == c.body {
-			c.record.Dispatch(history.Dispatch{Key: c.body, At: call.At})
+			c.record.RecordDispatch(history.Dispatch{Key: c.body, At: call.At})
 		}
 	}
 	for _, run := range c.fleet.engine.Runs() {
 		if run.Body == c.body {
-			c.record.Dispatch(history.Dispatch{Key: c.body, At: run.At})
+			c.record.RecordDispatch(history.Dispatch{Key: c.body, At: run.At})
 		}
 	}
 	for _, v := range c.record.Check() {
--- a/internal/faults/random_test.go
+++ b/internal/faults/random_test.go
@@ -60,10 +60,10 @@
 	<-done
 	f.service.SetFaults(service.Faults{})
 	for _, c := range f.service.Calls() {
-		record.Dispatch(history.Dispatch{Key: c.Body, At: c.At})
+		record.RecordDispatch(history.Dispatch{Key: c.Body, At: c.At})
 	}
 	for _, r := range f.engine.Runs() {
-		record.Dispatch(history.Dispatch{Key: r.Body, At: r.At})
+		record.RecordDispatch(history.Dispatch{Key: r.Body, At: r.At})
 	}
 	t.Logf("seed %d: %s", seed, record.Summary())
 	for _, v := range record.Check() {
@@ -128,7 +128,7 @@
 	if !ok {
 		return
 	}
-	record.Expect(do.body, do.answer)
+	record.ExpectBody(do.body, do.answer)
 	var all sync.WaitGroup
 	for range 1 + random.IntN(4) {
 		p := f.daemons[random.IntN(len(f.daemons))]
@@ -136,7 +136,7 @@
 			begun := time.Now()
 			r := p.send(call{path: do.path, body: do.body, key: key, timeout: 300 * time.Millisecond, hasty: true, header: do.nonIdempotent})
 			if r.outcome != "" {
-				record.Answer(history.Answer{Key: do.body, Caller: caller, Outcome: r.outcome, Reason: r.problem.Reason, Body: text(r.body), Sent: begun, Got: time.Now()})
+				record.RecordAttempt(history.Attempt{Key: do.body, Caller: caller, Outcome: r.outcome, Reason: r.problem.Reason, Body: text(r.body), Sent: begun, Received: time.Now()})
 			}
 		}
 		if random.IntN(2) == 0 {
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -104,7 +104,7 @@
 	if other.isFrozen() || w.side[address] != w.side[m.address] {
 		return nil, nil, peer.ErrNoReply
 	}
-	turn, decided := other.fleet.shardAt(r.Service, r.Shard).pool.Submit(requestOf(time.Now(), r)).Decided()
+	turn, decided := other.fleet.shardAt(r.Service, r.Shard).pool.Submit(requestOf(time.Now(), r)).TryWait()
 	if !decided || turn.Grant == nil {
 		return nil, &peer.SlotRefusal{Reason: "full"}, nil
 	}
@@ -218,7 +218,7 @@
 func (w *coldWorld) request(t *testing.T, m *coldMember) {
 	now := time.Now()
 	l, problem := m.fleet.Acquire(t.Context(), &Want{ID: "1", Service: "s", Request: &scheduler.Request{
-		Arrived: now, Deadline: now.Add(time.Minute), Patience: time.Nanosecond, LateIsWorth: true, Prompt: 100,
+		Arrived: now, Deadline: now.Add(time.Minute), MaxWait: time.Nanosecond, AllowLate: true, PromptTokens: 100,
 	}})
 	if problem != nil {
 		return
@@ -362,7 +362,7 @@
 	is.Equal(l.Upstream(), "i-7")
 	f.shardAt("s", 0).pool.View(func(core *scheduler.Core) {
 		for _, u := range core.Upstreams() {
-			is.Equal(u.Speed.KnowsPace(), u.ID == "i-7")
+			is.Equal(u.Speed.KnowsInterval(), u.ID == "i-7")
 			if u.ID == "i-7" {
 				is.Equal(u.Speed.Interval(), 4400*time.Microsecond)
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -152,14 +152,14 @@
 }
 
 func (f *Fleet) newShard(service string, index int) *shard {
-	picker := &balancer.Aimed{FarCost: f.o.FarCost, FarRegionCost: f.o.FarRegionCost, Weights: balancer.DefaultAimedWeights}
+	picker := &balancer.ObjectivePicker{CrossZoneCost: f.o.FarCost, CrossRegionCost: f.o.FarRegionCost, Weights: balancer.DefaultObjectiveWeights}
 	core := scheduler.New(scheduler.Options{
 		Picker:        picker,
 		Limits:        f.o.Limits,
-		MemoryBlocks:  memoryBlocks,
+		PrefixIndexBlocks:  memoryBlocks,
 		MinRetryAfter: minRetryAfter,
 	})
-	core.SetColdStart(f.services[service].coldStart, scheduler.Reach{})
+	core.SetColdStart(f.services[service].coldStart, scheduler.Reachability{})
 	return &shard{service: service, index: index, pool: pool.New(pool.Options{Core: core}), repeats: retrybudget.New(f.o.Repeats.Owned(index+1, 1))}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 func generation() *Want {
 	now := time.Now()
 	return &Want{ID: "1", Service: "s", Request: &scheduler.Request{
-		Arrived: now, Deadline: now.Add(time.Minute), Patience: time.Second, LateIsWorth: true, Prompt: 100,
+		Arrived: now, Deadline: now.Add(time.Minute), MaxWait: time.Second, AllowLate: true, PromptTokens: 100,
 	}}
 }
 
@@ -96,7 +96,7 @@
 func TestRequestsWithoutAPromptHaveTheSameOwner(t *testing.T) {
 	is := is.New(t)
 	w := generation()
-	w.Request.Prompt = 0
+	w.Request.PromptTokens = 0
 	f := fleetOf("10.0.0.1:1", instances(63))
 	_, owners := f.shardAndOwners(w)
 	_, same := f.shardAndOwners(generation())
@@ -331,7 +331,7 @@
 	running := func() (n int) {
 		f.shardAt("s", 0).pool.View(func(core *scheduler.Core) {
 			for _, u := range core.Upstreams() {
-				n += u.OthersRunning
+				n += u.RunningElsewhere
 			}
 		})
 		return n
@@ -353,7 +353,7 @@
 	avoided := func() (n int) {
 		f.shardAt("s", 0).pool.View(func(core *scheduler.Core) {
 			for _, u := range core.Upstreams() {
-				if u.AvoidUntil.After(time.Now()) {
+				if u.CircuitOpenUntil.After(time.Now()) {
 					n++
 				}
 			}
--- a/internal/fleet/homes_test.go
+++ b/internal/fleet/homes_test.go
@@ -59,7 +59,7 @@
 		served, refused := map[string]int{}, 0
 		for range 3_000 * 8 {
 			w := generation()
-			w.Request.Patience = time.Nanosecond
+			w.Request.MaxWait = time.Nanosecond
 			l, problem := s.fleet.Acquire(t.Context(), w)
 			if problem != nil {
 				is.Equal(problem.Outcome, api.NotRun)
--- a/internal/fleet/instances.go
+++ b/internal/fleet/instances.go
@@ -39,7 +39,7 @@
 func (f *Fleet) testAvoided() {
 	f.o.Log.Info().Str("event", "avoided_tested").Int("instances_in_reach", f.InstancesInReach()).Msg("")
 	for _, s := range f.all() {
-		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.TestAvoided(now) })
+		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.ProbeOpenCircuits(now) })
 	}
 }
 
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -80,7 +80,7 @@
 	FirstToken()
 	Heard()
 	// End gives the slot back and says how the request ended.
-	End(e scheduler.Ending, output int)
+	End(e scheduler.Result, output int)
 }
 
 // ownLease is granted by this instance.
@@ -94,10 +94,10 @@
 func (l *ownLease) Owner() string                      { return "" }
 func (l *ownLease) ListVersion() int64                 { return l.listVersion }
 func (l *ownLease) Limited() bool                      { return l.grant.Limited }
-func (l *ownLease) Predicted() time.Duration           { return l.grant.Predicted() }
-func (l *ownLease) FirstToken()                        { l.shard.pool.FirstToken(l.grant) }
-func (l *ownLease) Heard()                             { l.grant.Upstream.Heard(time.Now()) }
-func (l *ownLease) End(e scheduler.Ending, output int) { l.shard.pool.End(l.grant, e, output) }
+func (l *ownLease) Predicted() time.Duration           { return l.grant.PredictedFirstToken() }
+func (l *ownLease) FirstToken()                        { l.shard.pool.RecordFirstToken(l.grant) }
+func (l *ownLease) Heard()                             { l.grant.Upstream.MarkSeen(time.Now()) }
+func (l *ownLease) End(e scheduler.Result, output int) { l.shard.pool.End(l.grant, e, output) }
 
 // heldSlot is a slot that a peer granted. *peer.Slot implements it.
 type heldSlot interface {
@@ -122,7 +122,7 @@
 func (l *peerLease) Predicted() time.Duration { return l.grant.Predicted }
 func (l *peerLease) FirstToken()              { l.slot.Started() }
 func (l *peerLease) Heard()                   {} // the owner hears of first tokens and endings
-func (l *peerLease) End(e scheduler.Ending, output int) {
+func (l *peerLease) End(e scheduler.Result, output int) {
 	l.all.remove(l)
 	l.slot.Release(peer.SlotRelease{Ending: uint8(e), Output: output})
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -58,9 +58,9 @@
 func (f *Fleet) LimitedUpstreams() int { return f.limits.Count() }
 
 // limitOf is the limit of a process as its scheduler takes it.
-func (f *Fleet) limitOf(process string) balancer.NamedLimit {
+func (f *Fleet) limitOf(process string) balancer.AdvertisedLimit {
 	perSecond, limited := f.limits.Of(process)
-	return balancer.NamedLimit{Set: limited, PerSecond: perSecond}
+	return balancer.AdvertisedLimit{Set: limited, PerSecond: perSecond}
 }
 
 // limitsToTell returns the limits of a service's upstreams, for the owner of one of its shards.
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -142,7 +142,7 @@
 	}
 	other.fleet.LearnLimits(m.address, r.Limits)
 	pool := other.fleet.shardAt(r.Service, r.Shard).pool
-	turn, decided := pool.Submit(requestOf(time.Now(), r)).Decided()
+	turn, decided := pool.Submit(requestOf(time.Now(), r)).TryWait()
 	if !decided || turn.Grant == nil {
 		return nil, &peer.SlotRefusal{Reason: "full"}, nil
 	}
@@ -213,7 +213,7 @@
 func (w *limitWorld) request(t *testing.T, m *limitMember) {
 	now := time.Now()
 	l, problem := m.fleet.Acquire(t.Context(), &Want{ID: "1", Service: "s", Request: &scheduler.Request{
-		Arrived: now, Deadline: now.Add(time.Minute), Patience: time.Nanosecond, LateIsWorth: true, Prompt: 100,
+		Arrived: now, Deadline: now.Add(time.Minute), MaxWait: time.Nanosecond, AllowLate: true, PromptTokens: 100,
 	}})
 	if problem != nil {
 		return
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -38,7 +38,7 @@
 
 func (s *shard) setOthers(instance string, l scheduler.Load) {
 	s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
-		core.SetOthers(instance, l)
+		core.SetInstanceLoad(instance, l)
 		return core.Poll(now)
 	})
 }
--- a/internal/fleet/places.go
+++ b/internal/fleet/places.go
@@ -23,7 +23,7 @@
 	updated := updates{}
 	for _, u := range f.upstreams {
 		if slices.Contains(takenBack, u.Zone) {
-			u.keepCold(now, f.services[u.Service].coldStart.For)
+			u.keepCold(now, f.services[u.Service].coldStart.Duration)
 		}
 		f.refresh(u, updated)
 	}
@@ -37,9 +37,9 @@
 	f.mu.Lock()
 	for name, s := range services {
 		f.serviceOf(name).coldStart = scheduler.ColdStart{
-			For:       s.ColdStart,
+			Duration:       s.ColdStart,
 			PerSecond: s.ColdPerSecond,
-			Most:      f.o.ColdOverage*s.ColdPerSecond + f.o.ColdSlack,
+			MaxPerSecond:      f.o.ColdOverage*s.ColdPerSecond + f.o.ColdSlack,
 		}
 	}
 	f.mu.Unlock()
@@ -55,8 +55,8 @@
 		coldStart := f.serviceOf(s.service).coldStart
 		f.mu.Unlock()
 		reach := reached
-		if coldStart.Limits() || limited {
-			reach.Asked = f.isAsked(s, reached.Asked)
+		if coldStart.IsLimited() || limited {
+			reach.Queried = f.isAsked(s, reached.Queried)
 		}
 		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 			core.SetColdStart(coldStart, reach)
@@ -67,17 +67,17 @@
 
 // reach says which part of what upstreams bear this instance may grant. One that has just started, or has
 // heard of nobody, doesn't know which part of the fleet it is, and isn't asked by others.
-func (f *Fleet) reach() scheduler.Reach {
+func (f *Fleet) reach() scheduler.Reachability {
 	if f.slots == nil {
-		return scheduler.Reach{Asked: true, Fleet: 1}
+		return scheduler.Reachability{Queried: true, FleetShare: 1}
 	}
 	f.mu.Lock()
 	instances := f.instances
 	f.mu.Unlock()
 	if len(instances) == 1 {
-		return scheduler.Reach{Asked: f.slots.FleetSize() == 1, Fleet: 1, Alone: f.alonePart()}
+		return scheduler.Reachability{Queried: f.slots.FleetSize() == 1, FleetShare: 1, OwnShare: f.alonePart()}
 	}
-	return scheduler.Reach{Asked: f.Settled(), Zones: zonesInReach(instances), Fleet: f.partInReach(), Alone: f.alonePart()}
+	return scheduler.Reachability{Queried: f.Settled(), ZoneShares: zonesInReach(instances), FleetShare: f.partInReach(), OwnShare: f.alonePart()}
 }
 
 // alonePart is the part of all instances that this one is.
@@ -137,7 +137,7 @@
 func (f *Fleet) ColdUpstreams() (n int) {
 	now := time.Now()
 	for _, s := range f.all() {
-		s.pool.View(func(core *scheduler.Core) { n += core.Cold(now) })
+		s.pool.View(func(core *scheduler.Core) { n += core.ColdUpstreams(now) })
 	}
 	return n
 }
@@ -146,7 +146,7 @@
 // more in so short a time.
 func (f *Fleet) HeldStarts() (n int64) {
 	for _, s := range f.all() {
-		s.pool.View(func(core *scheduler.Core) { n += core.Held() })
+		s.pool.View(func(core *scheduler.Core) { n += core.LimitedGrants() })
 	}
 	return n
 }
--- a/internal/fleet/repeats_test.go
+++ b/internal/fleet/repeats_test.go
@@ -58,7 +58,7 @@
 		repeat := func() (Lease, *api.Problem) {
 			w := generation()
 			w.Ask = peer.AskRepeat
-			w.Request.Patience = time.Nanosecond
+			w.Request.MaxWait = time.Nanosecond
 			return s.fleet.Acquire(t.Context(), w)
 		}
 		_, problem := repeat()
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -153,8 +153,8 @@
 		for _, sh := range shards {
 			sh.pool.View(func(core *scheduler.Core) {
 				for _, u := range core.Upstreams() {
-					for now := time.Now(); u.MayStart(now); got[u.ID]++ {
-						u.NoteStart(now)
+					for now := time.Now(); u.AllowsGrant(now); got[u.ID]++ {
+						u.RecordGrant(now)
 					}
 				}
 			})
@@ -186,7 +186,7 @@
 		for _, sh := range s.fleet.all() {
 			sh.pool.View(func(core *scheduler.Core) {
 				for _, u := range core.Upstreams() {
-					n += u.OthersRunning
+					n += u.RunningElsewhere
 				}
 			})
 		}
--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -31,13 +31,13 @@
 	Key     quarantine.Key
 	Service string
 	Request *scheduler.Request
-	Parts   []prefix.Part // of its prompt, in order
+	Parts   []prefix.Segment // of its prompt, in order
 	Ask     peer.Ask
 }
 
 // Acquire blocks until the request gets a slot, is refused, or ctx ends.
 func (f *Fleet) Acquire(ctx context.Context, w *Want) (Lease, *api.Problem) {
-	w.Request.Without = f.without()
+	w.Request.ExcludedUpstreams = f.without()
 	shard, owners := f.shardAndOwners(w)
 	repeats := f.Repeats(w.Service)
 	for _, owner := range owners {
@@ -50,7 +50,7 @@
 		case err == nil:
 			return l, problem
 		case ctx.Err() != nil:
-			return nil, pool.EndedWaiting(ctx)
+			return nil, pool.WaitEndedProblem(ctx)
 		}
 		f.distrust(owner, w.ID, err)
 	}
@@ -60,7 +60,7 @@
 	if problem := charge(repeats, w.Ask); problem != nil {
 		return nil, problem
 	}
-	w.Request.Chain = prefix.ChainOf(w.Parts)
+	w.Request.PrefixHashes = prefix.SegmentHashes(w.Parts)
 	w.Request.Zone = f.o.Zone
 	w.Request.Region = f.o.Regions[f.o.Zone]
 	grant, problem := shard.pool.Acquire(ctx, w.Request)
@@ -139,7 +139,7 @@
 	case slot.Queued:
 		f.noteShort(w.Service)
 	}
-	s.pool.Adopt(slot.Grant.Upstream, ratesOf(slot.Grant))
+	s.pool.AdoptRates(slot.Grant.Upstream, ratesOf(slot.Grant))
 	l := &peerLease{owner: owner, grant: slot.Grant, slot: slot, all: &f.leases}
 	f.leases.add(l)
 	return l, nil, nil
@@ -161,31 +161,31 @@
 		Organisation: r.Organisation,
 		Age:          now.Sub(r.Arrived),
 		Timeout:      r.Deadline.Sub(now),
-		Patience:     r.Patience,
-		Aim:          r.Aim,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Expected:     r.Expected,
+		Patience:     r.MaxWait,
+		Aim:          r.LatencyObjective,
+		Prompt:       r.PromptTokens,
+		Output:       r.MaxOutput,
+		Expected:     r.ExpectedOutput,
 		Bytes:        r.Bytes,
-		Exclude:      r.Exclude,
-		Without:      r.Without,
+		Exclude:      r.FailedUpstream,
+		Without:      r.ExcludedUpstreams,
 		Ask:          w.Ask,
 		Limits:       f.limitsToTell(s.service),
 		Zone:         f.o.Zone,
-		Bound:        r.Homes.Bound,
-		Regions:      r.Homes.Regions,
+		Bound:        r.RegionConstraint.Bound,
+		Regions:      r.RegionConstraint.Regions,
 	}
 	for _, p := range w.Parts {
-		out.Parts = append(out.Parts, peer.PromptPart{Sum: p.Sum, Tokens: p.Tokens})
+		out.Parts = append(out.Parts, peer.PromptPart{Sum: p.Hash, Tokens: p.Tokens})
 	}
 	return out
 }
 
 // requestOf turns a peer's request into the scheduler's.
 func requestOf(now time.Time, r *peer.SlotRequest) *scheduler.Request {
-	var parts []prefix.Part
+	var parts []prefix.Segment
 	for _, p := range r.Parts {
-		parts = append(parts, prefix.Part{Sum: p.Sum, Tokens: p.Tokens})
+		parts = append(parts, prefix.Segment{Hash: p.Sum, Tokens: p.Tokens})
 	}
 	return &scheduler.Request{
 		Rank:         r.Rank,
@@ -193,18 +193,18 @@
 		Share:        1,
 		Arrived:      now.Add(-r.Age),
 		Deadline:     now.Add(r.Timeout),
-		Patience:     r.Patience,
-		Aim:          r.Aim,
-		LateIsWorth:  true,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Expected:     r.Expected,
-		Chain:        prefix.ChainOf(parts),
+		MaxWait:     r.Patience,
+		LatencyObjective:          r.Aim,
+		AllowLate:  true,
+		PromptTokens:       r.Prompt,
+		MaxOutput:       r.Output,
+		ExpectedOutput:     r.Expected,
+		PrefixHashes:        prefix.SegmentHashes(parts),
 		Bytes:        r.Bytes,
-		Exclude:      r.Exclude,
-		Without:      r.Without,
+		FailedUpstream:      r.Exclude,
+		ExcludedUpstreams:      r.Without,
 		Zone:         r.Zone,
-		Homes:        scheduler.Homes{Bound: r.Bound, Regions: r.Regions},
+		RegionConstraint:        scheduler.RegionConstraint{Bound: r.Bound, Regions: r.Regions},
 	}
 }
 
@@ -232,7 +232,7 @@
 	request := requestOf(time.Now(), r)
 	request.Region = f.o.Regions[r.Zone]
 	waiting := shard.pool.Submit(request)
-	turn, decided := waiting.Decided()
+	turn, decided := waiting.TryWait()
 	if !decided {
 		s.Queued()
 		turn = waiting.Wait(ctx)
@@ -249,10 +249,10 @@
 }
 
 // serveGrant tells the peer its slot and returns how the request ended.
-func (f *Fleet) serveGrant(ctx context.Context, sh *shard, r *peer.SlotRequest, s *peer.SlotStream, g *scheduler.Grant) (scheduler.Ending, int) {
+func (f *Fleet) serveGrant(ctx context.Context, sh *shard, r *peer.SlotRequest, s *peer.SlotStream, g *scheduler.Grant) (scheduler.Result, int) {
 	err := s.Granted(ctx, peer.SlotGrant{
 		Upstream:    g.Upstream.ID,
-		Predicted:   g.Predicted(),
+		Predicted:   g.PredictedFirstToken(),
 		Running:     g.Running,
 		Limited:     g.Limited,
 		ListVersion: f.listVersion(),
@@ -266,9 +266,9 @@
 		switch {
 		case err != nil:
 		case release == nil:
-			sh.pool.FirstToken(g)
-		case scheduler.Ending(release.Ending).IsKnown():
-			return scheduler.Ending(release.Ending), release.Output
+			sh.pool.RecordFirstToken(g)
+		case scheduler.Result(release.Ending).IsKnown():
+			return scheduler.Result(release.Ending), release.Output
 		default:
 			return scheduler.Cancelled, 0 // a peer of a newer version
 		}
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -36,9 +36,9 @@
 		Region:    f.o.Regions[u.Zone],
 		Slots:     u.Slots,
 		Leaving:   u.unusable != nil,
-		Born:      u.Born,
+		Incarnation:      u.Born,
 		ColdUntil: u.listed.Add(u.Cold),
-		Limit:     f.limitOf(u.process()),
+		AdvertisedLimit:     f.limitOf(u.process()),
 	}
 }
 
@@ -62,7 +62,7 @@
 // apply tells the shards, and returns them.
 func (p updates) apply() []*shard {
 	for s, c := range p {
-		s.pool.ChangeMembers(c.changed, c.gone)
+		s.pool.UpdateMembers(c.changed, c.gone)
 	}
 	return slices.Collect(maps.Keys(p))
 }
@@ -169,7 +169,7 @@
 		i := shardFor(u.ID, want)
 		m := f.member(u)
 		if u.shard != shards[i] {
-			m.MovedAt, m.Before = now, before[u.ID]
+			m.MovedAt, m.Previous = now, before[u.ID]
 		}
 		u.shard = shards[i]
 		members[i] = append(members[i], m)
@@ -188,7 +188,7 @@
 	for _, s := range shards {
 		s.pool.View(func(core *scheduler.Core) {
 			for _, u := range core.Upstreams() {
-				out[u.ID] = u.Copy()
+				out[u.ID] = u.CopyState()
 			}
 		})
 	}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -16,8 +16,8 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// Answer is what a caller was told of one attempt.
-type Answer struct {
+// Attempt is what a caller was told of one attempt.
+type Attempt struct {
 	// Key that the request was sent under; it names the request.
 	Key string
 	// Caller that sent it.
@@ -28,8 +28,8 @@
 	Reason api.Reason
 	// Body of the answer when the outcome is answered.
 	Body string
-	// Sent and Got are when the attempt began and its answer came.
-	Sent, Got time.Time
+	// Sent and Received are when the attempt began and its answer came.
+	Sent, Received time.Time
 }
 
 // Dispatch is one run of a request at an upstream.
@@ -41,7 +41,7 @@
 // Recorder collects a history. Safe for concurrent use.
 type Recorder struct {
 	mu         sync.Mutex
-	answers    []Answer
+	answers    []Attempt
 	dispatches []Dispatch
 	want       map[string]string
 }
@@ -49,22 +49,22 @@
 // NewRecorder returns an empty history.
 func NewRecorder() *Recorder { return &Recorder{want: map[string]string{}} }
 
-// Expect notes the only right body of an answer under a key.
-func (r *Recorder) Expect(key, body string) {
+// ExpectBody notes the only right body of an answer under a key.
+func (r *Recorder) ExpectBody(key, body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.want[key] = body
 }
 
-// Answer records an answer.
-func (r *Recorder) Answer(a Answer) {
+// RecordAttempt records an answer.
+func (r *Recorder) RecordAttempt(a Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, a)
 }
 
-// Dispatch records a dispatch.
-func (r *Recorder) Dispatch(d Dispatch) {
+// RecordDispatch records a dispatch.
+func (r *Recorder) RecordDispatch(d Dispatch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dispatches = append(r.dispatches, d)
@@ -85,21 +85,21 @@
 
 // Violation is one broken promise.
 type Violation struct {
-	Promise string
-	Key     string
-	Detail  string
+	Guarantee string
+	Key       string
+	Detail    string
 }
 
 // String words a violation.
-func (v Violation) String() string { return v.Promise + ": " + v.Key + ": " + v.Detail }
+func (v Violation) String() string { return v.Guarantee + ": " + v.Key + ": " + v.Detail }
 
 // The promises that Check reads.
 const (
-	AtMostOnce  = "a request runs at most once"
-	NotRunTrue  = "a request called not-run did not run"
-	OwnAnswer   = "a caller gets the whole answer to its own request"
-	OneAnswer   = "repeats get one answer"
-	AnsweredRan = "an answered request ran"
+	AtMostOnce     = "a request runs at most once"
+	NotRunNeverRan = "a request called not-run did not run"
+	OwnResponse    = "a caller gets the whole answer to its own request"
+	SameResponse   = "repeats get one answer"
+	AnsweredRan    = "an answered request ran"
 )
 
 // Check returns every violation of the promises.
@@ -123,22 +123,22 @@
 	return out
 }
 
-func (r *Recorder) checkAnswer(a Answer, ran int, bodies map[string]string) []Violation {
+func (r *Recorder) checkAnswer(a Attempt, ran int, bodies map[string]string) []Violation {
 	var out []Violation
 	switch a.Outcome {
 	case api.NotRun:
 		if ran > 0 {
-			out = append(out, Violation{NotRunTrue, a.Key, fmt.Sprintf("caller %d was told not-run (%s)", a.Caller, a.Reason)})
+			out = append(out, Violation{NotRunNeverRan, a.Key, fmt.Sprintf("caller %d was told not-run (%s)", a.Caller, a.Reason)})
 		}
 	case api.Answered:
 		if ran == 0 {
 			out = append(out, Violation{AnsweredRan, a.Key, fmt.Sprintf("caller %d got %q", a.Caller, a.Body)})
 		}
 		if want, ok := r.want[a.Key]; ok && a.Body != want {
-			out = append(out, Violation{OwnAnswer, a.Key, fmt.Sprintf("caller %d got %q instead of %q", a.Caller, a.Body, want)})
+			out = append(out, Violation{OwnResponse, a.Key, fmt.Sprintf("caller %d got %q instead of %q", a.Caller, a.Body, want)})
 		}
 		if before, ok := bodies[a.Key]; ok && before != a.Body {
-			out = append(out, Violation{OneAnswer, a.Key, fmt.Sprintf("%q and %q", before, a.Body)})
+			out = append(out, Violation{SameResponse, a.Key, fmt.Sprintf("%q and %q", before, a.Body)})
 		}
 		bodies[a.Key] = a.Body
 	}
@@ -176,7 +176,7 @@
 	}
 	for _, a := range r.answers {
 		if a.Outcome == api.Answered || a.Outcome == api.NotRun {
-			add(input{key: a.Key}, output{a.Outcome}, a.Sent, a.Got)
+			add(input{key: a.Key}, output{a.Outcome}, a.Sent, a.Received)
 		}
 	}
 	return porcupine.CheckOperations(registerModel, ops)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -27,9 +27,9 @@
 	Core *scheduler.Core
 	// Picker of the core, where its weight is to be changed. May be nil.
 	Picker *balancer.Predictive
-	// Press tells the peers that work of a rank is about to be shed for load, and
+	// ShedLowerAtPeers tells the peers that work of a rank is about to be shed for load, and
 	// returns when none within reach holds lower work. May be nil.
-	Press func(rank int)
+	ShedLowerAtPeers func(rank int)
 	// Announce tells the peers at once what is pending. It must not block. May be nil.
 	Announce func()
 }
@@ -58,48 +58,48 @@
 // work back for longer than that.
 const pressAgain = 500 * time.Millisecond
 
-// Turn is what a waiting request is told: one of the two is set.
-type Turn struct {
+// Decision is what a waiting request is told: one of the two is set.
+type Decision struct {
 	Grant   *scheduler.Grant
 	Problem *api.Problem
 }
 
 // New returns a pool around a core, which nothing else may use any more.
 func New(o Options) *Pool {
-	p := &Pool{press: o.Press, announce: o.Announce, core: o.Core, picker: o.Picker}
+	p := &Pool{press: o.ShedLowerAtPeers, announce: o.Announce, core: o.Core, picker: o.Picker}
 	p.timer = time.AfterFunc(time.Hour, p.Poll)
 	p.timer.Stop()
 	return p
 }
 
-// Waiting is a request that was submitted and is to be decided on.
-type Waiting struct {
+// PendingRequest is a request that was submitted and is to be decided on.
+type PendingRequest struct {
 	pool    *Pool
 	request *scheduler.Request
-	turns   chan Turn
+	turns   chan Decision
 }
 
 // Submit submits a request. Exactly one call of Decided that returns true, or of Wait, is
 // to follow.
-func (p *Pool) Submit(r *scheduler.Request) *Waiting {
-	w := &Waiting{pool: p, request: r, turns: make(chan Turn, 1)}
+func (p *Pool) Submit(r *scheduler.Request) *PendingRequest {
+	w := &PendingRequest{pool: p, request: r, turns: make(chan Decision, 1)}
 	r.Value = w.turns
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.Submit(now, r) })
 	return w
 }
 
-// Decided returns the decision if there is one already. It doesn't block.
-func (w *Waiting) Decided() (Turn, bool) {
+// TryWait returns the decision if there is one already. It doesn't block.
+func (w *PendingRequest) TryWait() (Decision, bool) {
 	select {
 	case t := <-w.turns:
 		return t, true
 	default:
-		return Turn{}, false
+		return Decision{}, false
 	}
 }
 
 // Wait blocks until the request may be sent, is shed, or ctx ends.
-func (w *Waiting) Wait(ctx context.Context) Turn {
+func (w *PendingRequest) Wait(ctx context.Context) Decision {
 	select {
 	case t := <-w.turns:
 		return t
@@ -110,12 +110,12 @@
 	cancelled := p.core.Cancel(w.request)
 	p.mu.Unlock()
 	if cancelled {
-		return Turn{Problem: EndedWaiting(ctx)}
+		return Decision{Problem: WaitEndedProblem(ctx)}
 	}
 	t := <-w.turns // it was decided at the same moment
 	if t.Grant != nil {
 		p.End(t.Grant, scheduler.Cancelled, 0)
-		return Turn{Problem: EndedWaiting(ctx)}
+		return Decision{Problem: WaitEndedProblem(ctx)}
 	}
 	return t
 }
@@ -127,12 +127,12 @@
 }
 
 // End records how a granted request ended.
-func (p *Pool) End(g *scheduler.Grant, e scheduler.Ending, output int) {
+func (p *Pool) End(g *scheduler.Grant, e scheduler.Result, output int) {
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.End(now, g, e, output) })
 }
 
-// EndedWaiting words the end of a context while a request waited.
-func EndedWaiting(ctx context.Context) *api.Problem {
+// WaitEndedProblem words the end of a context while a request waited.
+func WaitEndedProblem(ctx context.Context) *api.Problem {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return api.Refuse(api.ReasonDeadlineExpired, "the deadline passed while the request waited; come back later or allow more time").WithRetryAfter(time.Second)
 	}
@@ -144,7 +144,7 @@
 	p.mu.Lock()
 	d := step(time.Now(), p.core)
 	p.schedule()
-	long := slices.ContainsFunc(d.Grants, p.core.IsLong)
+	long := slices.ContainsFunc(d.Grants, p.core.HasLongPrefill)
 	p.mu.Unlock()
 	p.carryOut(d)
 	if long && p.announce != nil {
@@ -152,12 +152,12 @@
 	}
 }
 
-// FirstToken records a first token, and tells the peers when a long prompt was read.
-func (p *Pool) FirstToken(g *scheduler.Grant) {
+// RecordFirstToken records a first token, and tells the peers when a long prompt was read.
+func (p *Pool) RecordFirstToken(g *scheduler.Grant) {
 	long := false
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
-		long = core.IsLong(g)
-		return core.FirstToken(now, g)
+		long = core.HasLongPrefill(g)
+		return core.RecordFirstToken(now, g)
 	})
 	if long && p.announce != nil {
 		p.announce()
@@ -181,10 +181,10 @@
 
 func (p *Pool) carryOut(d scheduler.Decisions) {
 	for _, g := range d.Grants {
-		g.Request.Value.(chan Turn) <- Turn{Grant: g}
+		g.Request.Value.(chan Decision) <- Decision{Grant: g}
 	}
 	for _, s := range d.Sheds {
-		tell := func() { s.Request.Value.(chan Turn) <- Turn{Problem: s.Problem} }
+		tell := func() { s.Request.Value.(chan Decision) <- Decision{Problem: s.Problem} }
 		if p.press == nil || !shedForLoad(s.Problem.Reason) {
 			tell()
 			continue
@@ -231,18 +231,18 @@
 	p.core.SetMembers(members)
 }
 
-// ChangeMembers takes upstreams that are new or have changed, and the IDs of those that have left the list.
-func (p *Pool) ChangeMembers(changed []scheduler.Member, gone []string) {
+// UpdateMembers takes upstreams that are new or have changed, and the IDs of those that have left the list.
+func (p *Pool) UpdateMembers(changed []scheduler.Member, gone []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.ChangeMembers(changed, gone)
+	p.core.UpdateMembers(changed, gone)
 }
 
-// Adopt takes what another instance has learned of an upstream's speed.
-func (p *Pool) Adopt(id string, r estimate.Rates) {
+// AdoptRates takes what another instance has learned of an upstream's speed.
+func (p *Pool) AdoptRates(id string, r estimate.Rates) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Adopt(id, r)
+	p.core.AdoptRates(id, r)
 }
 
 // MarkLeaving stops new work to an upstream.
@@ -292,15 +292,15 @@
 
 // UpstreamStatus is what an instance knows of an upstream, for operators.
 type UpstreamStatus struct {
-	Address        string    `json:"address"`
-	Zone           string    `json:"zone"`
-	Leaving        bool      `json:"leaving"`
-	Running        int       `json:"running"`
-	Window         int       `json:"window"`
-	PromptTokens   int       `json:"pendingPromptTokens"`
-	PrefillPerSec  float64   `json:"prefillTokensPerSecond"`
-	IntervalMillis float64   `json:"tokenIntervalMillis"`
-	AvoidedUntil   time.Time `json:"avoidedUntil,omitzero"`
+	Address          string    `json:"address"`
+	Zone             string    `json:"zone"`
+	Leaving          bool      `json:"leaving"`
+	Running          int       `json:"running"`
+	Window           int       `json:"window"`
+	PendingTokens    int       `json:"pendingPromptTokens"`
+	PrefillPerSec    float64   `json:"prefillTokensPerSecond"`
+	IntervalMillis   float64   `json:"tokenIntervalMillis"`
+	CircuitOpenUntil time.Time `json:"avoidedUntil,omitzero"`
 }
 
 // Status returns what is known of the upstreams.
@@ -310,15 +310,15 @@
 	var out []UpstreamStatus
 	for _, u := range p.core.Upstreams() {
 		out = append(out, UpstreamStatus{
-			Address:        u.Address,
-			Zone:           u.Zone,
-			Leaving:        u.Leaving,
-			Running:        u.Running,
-			Window:         u.Window.Size(),
-			PromptTokens:   u.Pending,
-			PrefillPerSec:  u.Speed.Prefill(),
-			IntervalMillis: float64(u.Speed.Interval()) / float64(time.Millisecond),
-			AvoidedUntil:   u.AvoidUntil,
+			Address:          u.Address,
+			Zone:             u.Zone,
+			Leaving:          u.Leaving,
+			Running:          u.Running,
+			Window:           u.Window.Size(),
+			PendingTokens:    u.PendingTokens,
+			PrefillPerSec:    u.Speed.Prefill(),
+			IntervalMillis:   float64(u.Speed.Interval()) / float64(time.Millisecond),
+			CircuitOpenUntil: u.CircuitOpenUntil,
 		})
 	}
 	return out
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -23,8 +23,8 @@
 	maxBlocks = 1024
 )
 
-// Chain returns one sum for each whole block of the prompt.
-func Chain(prompt []byte) []uint64 {
+// Hashes returns one sum for each whole block of the prompt.
+func Hashes(prompt []byte) []uint64 {
 	n := min(len(prompt)/BlockBytes, maxBlocks)
 	sums := make([]uint64, 0, n)
 	d := xxhash.New()
@@ -35,39 +35,39 @@
 	return sums
 }
 
-// Part is a piece of a prompt that other prompts may begin with too, where a caller gives
+// Segment is a piece of a prompt that other prompts may begin with too, where a caller gives
 // sums in place of the text.
-type Part struct {
-	// Sum names its text and all before it.
-	Sum uint64
+type Segment struct {
+	// Hash names its text and all before it.
+	Hash uint64
 	// Tokens is its length.
 	Tokens int
 }
 
-// ChainOf returns one sum for each whole block of a prompt that is given by its parts, in order.
-func ChainOf(parts []Part) []uint64 {
+// SegmentHashes returns one sum for each whole block of a prompt that is given by its parts, in order.
+func SegmentHashes(parts []Segment) []uint64 {
 	var out []uint64
 	tokens := 0
 	for _, p := range parts {
 		tokens += p.Tokens
 		for len(out) < tokens/BlockTokens {
-			out = append(out, p.Sum+uint64(len(out)))
+			out = append(out, p.Hash+uint64(len(out)))
 		}
 	}
 	return out
 }
 
-// Memory is what one engine likely holds. Not safe for concurrent use.
-type Memory struct {
+// Index is what one engine likely holds. Not safe for concurrent use.
+type Index struct {
 	blocks *simplelru.LRU[uint64, struct{}]
 }
 
-// NewMemory returns a memory of at most so many blocks.
-func NewMemory(blocks int) *Memory { return NewObservedMemory(blocks, nil) }
+// NewIndex returns a memory of at most so many blocks.
+func NewIndex(blocks int) *Index { return NewIndexOnEvict(blocks, nil) }
 
-// NewObservedMemory returns a memory that calls dropped for each block that it
+// NewIndexOnEvict returns a memory that calls dropped for each block that it
 // gives up; the stand-in engines publish their cache events from it.
-func NewObservedMemory(blocks int, dropped func(block uint64)) *Memory {
+func NewIndexOnEvict(blocks int, dropped func(block uint64)) *Index {
 	var onDrop simplelru.EvictCallback[uint64, struct{}]
 	if dropped != nil {
 		onDrop = func(block uint64, _ struct{}) { dropped(block) }
@@ -76,11 +76,11 @@
 	if err != nil {
 		panic("prefix: a positive size always makes a cache: " + err.Error())
 	}
-	return &Memory{blocks: lru}
+	return &Index{blocks: lru}
 }
 
 // Cached returns how many leading blocks of the chain the engine likely holds.
-func (m *Memory) Cached(chain []uint64) int {
+func (m *Index) Cached(chain []uint64) int {
 	low, high := 0, len(chain)
 	for low < high {
 		mid := (low + high + 1) / 2
@@ -95,18 +95,18 @@
 
 // Add records that the engine has read the prompt of the chain. The beginning
 // is made the most recent, since engines too evict the ends of prompts first.
-func (m *Memory) Add(chain []uint64) {
+func (m *Index) Add(chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		m.blocks.Add(chain[i], struct{}{})
 	}
 }
 
 // Drop records that the engine has evicted the blocks.
-func (m *Memory) Drop(blocks []uint64) {
+func (m *Index) Drop(blocks []uint64) {
 	for _, b := range blocks {
 		m.blocks.Remove(b)
 	}
 }
 
 // Clear forgets all, after the engine's restart.
-func (m *Memory) Clear() { m.blocks.Purge() }
+func (m *Index) Clear() { m.blocks.Purge() }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -139,15 +139,15 @@
 		Share:        1,
 		Arrived:      j.arrived,
 		Deadline:     j.deadline,
-		Patience:     j.patience(exclude != ""),
-		Aim:          j.route.Target,
-		LateIsWorth:  true,
-		Prompt:       j.call.Prompt,
-		Output:       j.call.Output,
-		Expected:     j.call.Expected,
+		MaxWait:     j.patience(exclude != ""),
+		LatencyObjective:          j.route.Target,
+		AllowLate:  true,
+		PromptTokens:       j.call.Prompt,
+		MaxOutput:       j.call.Output,
+		ExpectedOutput:     j.call.Expected,
 		Bytes:        len(j.body),
-		Exclude:      exclude,
-		Homes:        scheduler.Homes(routing.HomesOf(j.route, j.organisation)),
+		FailedUpstream:      exclude,
+		RegionConstraint:        scheduler.RegionConstraint(routing.HomesOf(j.route, j.organisation)),
 	}
 }
 
@@ -311,24 +311,24 @@
 }
 
 // endings are how the statuses of an attempt are told to the scheduler.
-var endings = map[status]scheduler.Ending{
+var endings = map[status]scheduler.Result{
 	done:        scheduler.Completed,
 	notSent:     scheduler.Unreachable,
 	notUsable:   scheduler.Cancelled,
 	notRun:      scheduler.Busy,
 	misdirected: scheduler.Misdirected,
-	lost:        scheduler.LostAnswer,
-	garbage:     scheduler.LostAnswer,
-	cut:         scheduler.LostAnswer,
-	failed:      scheduler.Erred,
+	lost:        scheduler.LostResponse,
+	garbage:     scheduler.LostResponse,
+	cut:         scheduler.LostResponse,
+	failed:      scheduler.UpstreamError,
 	callerGone:  scheduler.Cancelled,
 	outOfTime:   scheduler.Cancelled,
 }
 
 // endingOf tells how an attempt ended, with the status that was passed on.
-func endingOf(s status, passed int) scheduler.Ending {
+func endingOf(s status, passed int) scheduler.Result {
 	if s == done && passed >= http.StatusInternalServerError {
-		return scheduler.Erred
+		return scheduler.UpstreamError
 	}
 	return endings[s]
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -194,8 +194,8 @@
 func TestARequestThatCouldNotBeSentGoesElsewhereHoweverLongThatTook(t *testing.T) {
 	is := is.New(t)
 	j := job{route: &routing.Route{Target: time.Second}}
-	is.Equal(j.schedulerRequest("").Patience, time.Duration(patienceShare*float64(time.Second)))
-	is.Equal(j.schedulerRequest("a").Patience, time.Duration(0)) // none but the deadline
+	is.Equal(j.schedulerRequest("").MaxWait, time.Duration(patienceShare*float64(time.Second)))
+	is.Equal(j.schedulerRequest("a").MaxWait, time.Duration(0)) // none but the deadline
 	r := newRig(t)
 	r.publish(0)
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/seam.go
+++ b/internal/proxy/seam.go
@@ -54,7 +54,7 @@
 	// Expected is the caller's estimate of the output's length; 0 where there is none.
 	Expected int
 	// Parts of the prompt in order. Requests share the first ones.
-	Parts []prefix.Part
+	Parts []prefix.Segment
 	// After is the ID of the last event that the caller has of a stream; empty from
 	// the start.
 	After string
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -79,8 +79,8 @@
 // Len returns how many items wait.
 func (q *Queue) Len() int { return q.items }
 
-// LenOf returns how many items of a rank wait.
-func (q *Queue) LenOf(rank int) int {
+// LenOfRank returns how many items of a rank wait.
+func (q *Queue) LenOfRank(rank int) int {
 	if rank >= len(q.levels) || q.levels[rank] == nil {
 		return 0
 	}
@@ -101,7 +101,7 @@
 // CountAhead returns how many items go before a new one of a rank.
 func (q *Queue) CountAhead(rank int) (n int) {
 	for r := range rank + 1 {
-		n += q.LenOf(r)
+		n += q.LenOfRank(r)
 	}
 	return n
 }
@@ -109,15 +109,15 @@
 // LowestRank returns the least important rank of which something waits, or -1.
 func (q *Queue) LowestRank() int {
 	for r := len(q.levels) - 1; r >= 0; r-- {
-		if q.LenOf(r) > 0 {
+		if q.LenOfRank(r) > 0 {
 			return r
 		}
 	}
 	return -1
 }
 
-// HasRoom tells whether an item of so many bytes fits.
-func (q *Queue) HasRoom(bytes int) bool {
+// HasSpace tells whether an item of so many bytes fits.
+func (q *Queue) HasSpace(bytes int) bool {
 	return q.items < q.limits.MaxItems && q.bytes+int64(bytes) <= q.limits.MaxBytes
 }
 
@@ -145,8 +145,8 @@
 	q.bytes += int64(it.Bytes)
 }
 
-// Waiting returns the ranks of which something waits, the most important first.
-func (q *Queue) Waiting() []int {
+// WaitingRanks returns the ranks of which something waits, the most important first.
+func (q *Queue) WaitingRanks() []int {
 	var out []int
 	for r, lv := range q.levels {
 		if lv != nil && lv.items > 0 {
@@ -169,7 +169,7 @@
 // Peek returns up to n waiting items of a rank: the one that goes next, and others by their
 // latest start, whatever their organisations have had.
 func (q *Queue) Peek(now time.Time, rank, n int) []*Item {
-	if q.LenOf(rank) == 0 {
+	if q.LenOfRank(rank) == 0 {
 		return nil
 	}
 	next := q.levels[rank].next(now)
@@ -226,8 +226,8 @@
 	return true
 }
 
-// Expired removes and returns the items whose latest start has passed.
-func (q *Queue) Expired(now time.Time) []*Item {
+// RemoveExpired removes and returns the items whose latest start has passed.
+func (q *Queue) RemoveExpired(now time.Time) []*Item {
 	var out []*Item
 	for _, lv := range q.levels {
 		if lv == nil || lv.items == 0 {
@@ -260,8 +260,8 @@
 	return earliest, !earliest.IsZero()
 }
 
-// Lower removes and returns every item less important than rank.
-func (q *Queue) Lower(rank int) []*Item {
+// RemoveLower removes and returns every item less important than rank.
+func (q *Queue) RemoveLower(rank int) []*Item {
 	var out []*Item
 	for r := len(q.levels) - 1; r > rank; r-- {
 		if q.levels[r] == nil {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -77,11 +77,11 @@
 	for _, it := range []*Item{item(1, "a", 9), drop, keep} {
 		q.Push(it)
 	}
-	is.True(!q.HasRoom(1))
+	is.True(!q.HasSpace(1))
 	is.Equal(q.Displace(0), drop) // of the lowest tier, the one that could start last
 	is.Equal(q.Displace(0), keep)
 	is.Equal(q.Displace(1), nil) // nothing is less important
-	is.True(!q.HasRoom(100))     // bytes count too
+	is.True(!q.HasSpace(100))    // bytes count too
 }
 
 func TestExpiredAreGivenUp(t *testing.T) {
@@ -90,7 +90,7 @@
 	q.Push(item(0, "a", 5))
 	q.Push(item(1, "a", 1))
 	q.Push(item(1, "b", 2))
-	is.Equal(len(q.Expired(start.Add(3*time.Second))), 2)
+	is.Equal(len(q.RemoveExpired(start.Add(3*time.Second))), 2)
 	at, ok := q.EarliestStartBy()
 	is.True(ok)
 	is.Equal(at, start.Add(5*time.Second))
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -120,6 +120,6 @@
 
 // chain sums the prompt's prefixes and estimates its length in tokens.
 func (r *Request) chain(prompt []byte) {
-	r.Chain = prefix.Chain(prompt)
+	r.Chain = prefix.Hashes(prompt)
 	r.Prompt = max(len(prompt)/prefix.BytesPerToken, 1)
 }
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -31,12 +31,12 @@
 		c.sendUnqueued(now, r, &d)
 		return d
 	}
-	if !r.LateIsWorth && !c.feasible(now, r) {
+	if !r.AllowLate && !c.feasible(now, r) {
 		c.shed(now, &d, r, api.ReasonDeadlineTooShort, "even an idle upstream would answer too late; allow more time or send less")
 		return d
 	}
 	startBy := c.startBy(r)
-	if r.Patience > 0 && startBy.Before(now) && now.Before(r.Deadline) {
+	if r.MaxWait > 0 && startBy.Before(now) && now.Before(r.Deadline) {
 		startBy = now // it has waited enough elsewhere: it goes at once or not at all
 	}
 	if startBy.Before(now) {
@@ -73,7 +73,7 @@
 		c.shed(now, d, r, api.ReasonPredictedLate, "the queue is too long for it to be in time; come back after the time given")
 		return false
 	}
-	for !c.queue.HasRoom(r.Bytes) {
+	for !c.queue.HasSpace(r.Bytes) {
 		victim := c.queue.Displace(r.Rank)
 		if victim == nil {
 			c.shed(now, d, r, api.ReasonQueueFull, "the queue is full; come back after the time given")
@@ -87,7 +87,7 @@
 // shedLower gives up all waiting work of lower tiers, because work of this rank
 // is about to be shed: a higher tier is never shed before a lower one.
 func (c *Core) shedLower(now time.Time, rank int, d *Decisions) {
-	for _, it := range c.queue.Lower(rank) {
+	for _, it := range c.queue.RemoveLower(rank) {
 		c.shedDisplaced(now, it, d)
 	}
 }
@@ -151,17 +151,17 @@
 			leaving++
 		}
 		running += u.Running
-		others += u.OthersRunning
+		others += u.RunningElsewhere
 		slots += u.Slots
 		if u.Failures > 0 {
 			avoided++
 		}
-		if u.Named.Set {
+		if u.AdvertisedLimit.Set {
 			limited++
 		}
 	}
 	return fmt.Sprintf("rank %d, %d waiting, predicted wait %v, running %d here and %d elsewhere, %d slots, of %d upstreams %d failing, %d leaving or evacuated, %d cold and %d with a limit",
-		r.Rank, c.queue.Len(), c.predictedWait(r).Round(time.Millisecond), running, others, slots, len(c.upstreams), avoided, leaving, c.Cold(now), limited)
+		r.Rank, c.queue.Len(), c.predictedWait(r).Round(time.Millisecond), running, others, slots, len(c.upstreams), avoided, leaving, c.ColdUpstreams(now), limited)
 }
 
 // feasible tells whether any upstream could answer in time if it had nothing else
@@ -169,8 +169,8 @@
 func (c *Core) feasible(now time.Time, r *Request) bool {
 	output := c.output(r)
 	for _, u := range c.sampleUpstreams() {
-		first, whole := u.Speed.Idle(r.Prompt, output)
-		inTime := r.FirstToken == 0 || !now.Add(first).After(r.Arrived.Add(r.FirstToken))
+		first, whole := u.Speed.PredictIdle(r.PromptTokens, output)
+		inTime := r.MaxTimeToFirstToken == 0 || !now.Add(first).After(r.Arrived.Add(r.MaxTimeToFirstToken))
 		if inTime && !now.Add(whole).After(r.Deadline) {
 			return true
 		}
@@ -182,16 +182,16 @@
 // middling speed.
 func (c *Core) startBy(r *Request) time.Time {
 	startBy := r.Deadline
-	if r.Patience > 0 {
-		startBy = r.Arrived.Add(r.Patience)
+	if r.MaxWait > 0 {
+		startBy = r.Arrived.Add(r.MaxWait)
 	}
-	if r.LateIsWorth {
+	if r.AllowLate {
 		return startBy
 	}
 	first, whole := c.typical(r)
 	startBy = earlier(startBy, r.Deadline.Add(-whole))
-	if r.FirstToken > 0 {
-		startBy = earlier(startBy, r.Arrived.Add(r.FirstToken-first))
+	if r.MaxTimeToFirstToken > 0 {
+		startBy = earlier(startBy, r.Arrived.Add(r.MaxTimeToFirstToken-first))
 	}
 	return startBy
 }
@@ -214,9 +214,9 @@
 			wholes = append(wholes, 0)
 			continue
 		}
-		f := u.Speed.FirstToken(r.Prompt)
+		f := u.Speed.PredictFirstToken(r.PromptTokens)
 		firsts = append(firsts, f)
-		wholes = append(wholes, f+u.Speed.Decode(output, 0))
+		wholes = append(wholes, f+u.Speed.PredictDecode(output, 0))
 	}
 	if len(firsts) == 0 {
 		return 0, 0
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -15,7 +15,7 @@
 	for _, load := range []struct{ n, taken int }{{60, 5}, {60, 9}, {160, 5}, {160, 9}, {1000, 5}, {1000, 9}} {
 		n := load.n
 		b.Run(fmt.Sprintf("%d upstreams/%d in 10 taken", n, load.taken), func(b *testing.B) {
-			c := New(Options{Picker: &balancer.Aimed{Weights: balancer.DefaultAimedWeights}, Limits: queue.Limits{MaxItems: 2000, MaxBytes: 1 << 30}})
+			c := New(Options{Picker: &balancer.ObjectivePicker{Weights: balancer.DefaultObjectiveWeights}, Limits: queue.Limits{MaxItems: 2000, MaxBytes: 1 << 30}})
 			var members []Member
 			for i := range n {
 				members = append(members, Member{ID: fmt.Sprint(i), Zone: "bole", Slots: 10})
@@ -24,8 +24,8 @@
 			now := start
 			request := func(rank int) *Request {
 				return &Request{
-					Rank: rank, Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(12 * time.Second), Aim: time.Second,
-					Patience: 200 * time.Millisecond, LateIsWorth: true, Prompt: 700, Output: 2940, Expected: 100 + 900*rank,
+					Rank: rank, Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(12 * time.Second), LatencyObjective: time.Second,
+					MaxWait: 200 * time.Millisecond, AllowLate: true, PromptTokens: 700, MaxOutput: 2940, ExpectedOutput: 100 + 900*rank,
 				}
 			}
 			var running []*Grant
@@ -33,7 +33,7 @@
 				running = append(running, c.Submit(now, request(i%3)).Grants...)
 			}
 			for _, g := range running {
-				c.FirstToken(now.Add(50*time.Millisecond), g)
+				c.RecordFirstToken(now.Add(50*time.Millisecond), g)
 			}
 			at := 0
 			for b.Loop() {
@@ -41,7 +41,7 @@
 				d := c.End(now, running[at], Completed, 140)
 				d.Grants = append(d.Grants, c.Submit(now, request(at%3)).Grants...)
 				for _, g := range d.Grants {
-					c.FirstToken(now, g)
+					c.RecordFirstToken(now, g)
 					running[at] = g
 				}
 				at = (at + 1) % len(running)
--- a/internal/scheduler/cold.go
+++ b/internal/scheduler/cold.go
@@ -10,38 +10,38 @@
 // ColdStart says how the upstreams of a service start: what they bear while they are cold. Bounds
 // hold over all instances, whether they reach each other or not.
 type ColdStart struct {
-	// For is how long an upstream is cold; 0 where it never is.
-	For time.Duration
+	// Duration is how long an upstream is cold; 0 where it never is.
+	Duration time.Duration
 	// PerSecond is how many requests a second a cold one bears.
 	PerSecond float64
-	// Most is how many requests a cold one may get in any second at most; 0 is unknown.
-	Most float64
+	// MaxPerSecond is how many requests a cold one may get in any second at most; 0 is unknown.
+	MaxPerSecond float64
 }
 
-// Limits tells whether cold upstreams of the service bear less than others.
-func (s ColdStart) Limits() bool { return s.For > 0 && s.PerSecond > 0 }
+// IsLimited tells whether cold upstreams of the service bear less than others.
+func (s ColdStart) IsLimited() bool { return s.Duration > 0 && s.PerSecond > 0 }
 
-// Reach says which part of what upstreams bear this instance may grant.
-type Reach struct {
-	// Asked tells whether the others ask it for slots. One that decides alone because it can't
+// Reachability says which part of what upstreams bear this instance may grant.
+type Reachability struct {
+	// Queried tells whether the others ask it for slots. One that decides alone because it can't
 	// ask anybody may be one of many that do.
-	Asked bool
-	// Zones is the part of each availability zone's instances that it reaches, itself included. An
+	Queried bool
+	// ZoneShares is the part of each availability zone's instances that it reaches, itself included. An
 	// upstream is used by those of its own zone at least: where all of them are within reach, so
 	// is whoever else may send to it, as far as can be known.
-	Zones map[string]float64
-	// Fleet is the same of all instances, for zones without any.
-	Fleet float64
-	// Alone is the part of all instances that this one is, for where it decides alone.
-	Alone float64
+	ZoneShares map[string]float64
+	// FleetShare is the same of all instances, for zones without any.
+	FleetShare float64
+	// OwnShare is the part of all instances that this one is, for where it decides alone.
+	OwnShare float64
 }
 
 // partOf returns the part of what the upstreams of an availability zone bear that this instance may grant.
-func (r Reach) partOf(zone string) float64 {
-	if part, known := r.Zones[zone]; known {
+func (r Reachability) partOf(zone string) float64 {
+	if part, known := r.ZoneShares[zone]; known {
 		return part
 	}
-	return r.Fleet
+	return r.FleetShare
 }
 
 const (
@@ -64,35 +64,35 @@
 )
 
 // SetColdStart takes how the upstreams start, and which part of what they bear this instance may grant, from now on.
-func (c *Core) SetColdStart(s ColdStart, r Reach) {
-	if c.coldStart == s && c.reach.Asked == r.Asked && c.reach.Fleet == r.Fleet && c.reach.Alone == r.Alone && maps.Equal(c.reach.Zones, r.Zones) {
+func (c *Core) SetColdStart(s ColdStart, r Reachability) {
+	if c.coldStart == s && c.reach.Queried == r.Queried && c.reach.FleetShare == r.FleetShare && c.reach.OwnShare == r.OwnShare && maps.Equal(c.reach.ZoneShares, r.ZoneShares) {
 		return
 	}
 	c.coldStart, c.reach = s, r
 	for _, u := range c.upstreams {
-		u.Limits = c.limitsOf(u.Zone)
-		u.SetRate(c.rateOf(u))
+		u.GrantLimits = c.limitsOf(u.Zone)
+		u.SetRateLimit(c.rateOf(u))
 	}
 }
 
 // limitsOf returns what upstreams of an availability zone may be granted.
-func (c *Core) limitsOf(zone string) balancer.StartLimits {
+func (c *Core) limitsOf(zone string) balancer.GrantLimits {
 	s := c.coldStart
-	if !s.Limits() {
-		return balancer.StartLimits{}
+	if !s.IsLimited() {
+		return balancer.GrantLimits{}
 	}
-	if !c.reach.Asked {
-		return balancer.StartLimits{Set: true, Warm: min(warmAlone, int(s.Most))}
+	if !c.reach.Queried {
+		return balancer.GrantLimits{Set: true, Warm: min(warmAlone, int(s.MaxPerSecond))}
 	}
 	part := c.reach.partOf(zone)
-	return balancer.StartLimits{Set: true, Cold: s.coldLimit(part), Warm: int(s.Most * max(warmShare*part, warmLeast)), Moved: int(s.Most * movedShare * part)}
+	return balancer.GrantLimits{Set: true, Cold: s.coldLimit(part), Warm: int(s.MaxPerSecond * max(warmShare*part, warmLeast)), Moved: int(s.MaxPerSecond * movedShare * part)}
 }
 
 // coldLimit is how many requests a cold upstream is granted in a second by a part of all.
 func (s ColdStart) coldLimit(part float64) int {
 	n := coldShare * s.PerSecond
-	if s.Most > 0 {
-		n = min(n, coldMostShare*s.Most)
+	if s.MaxPerSecond > 0 {
+		n = min(n, coldMostShare*s.MaxPerSecond)
 	}
 	if part == 1 {
 		return max(int(n), 1) // or it would never be used
@@ -103,7 +103,7 @@
 // recovered notes that an upstream works. One that had failed may have started again.
 func (c *Core) recovered(now time.Time, u *balancer.Upstream) {
 	if u.Failures > 0 {
-		u.KeepCold(now.Add(c.coldStart.For))
+		u.KeepColdUntil(now.Add(c.coldStart.Duration))
 	}
 	u.Failures = 0
 }
@@ -112,18 +112,18 @@
 // it back.
 func (c *Core) countHeld(now time.Time) {
 	for _, u := range c.upstreams {
-		if u.Usable(now) && !u.IsFull() && !u.MayStart(now) {
+		if u.Usable(now) && !u.IsFull() && !u.AllowsGrant(now) {
 			c.held++
 			return
 		}
 	}
 }
 
-// Held returns how often waiting work was held back by limits of starts alone.
-func (c *Core) Held() int64 { return c.held }
+// LimitedGrants returns how often waiting work was held back by limits of starts alone.
+func (c *Core) LimitedGrants() int64 { return c.held }
 
-// Cold returns how many upstreams are believed to be cold.
-func (c *Core) Cold(now time.Time) (n int) {
+// ColdUpstreams returns how many upstreams are believed to be cold.
+func (c *Core) ColdUpstreams(now time.Time) (n int) {
 	for _, u := range c.upstreams {
 		if u.IsCold(now) {
 			n++
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -27,8 +27,8 @@
 	Picker balancer.Picker
 	// Limits bounds the queue.
 	Limits queue.Limits
-	// MemoryBlocks bounds the remembered prefix blocks of one upstream; 0 is none.
-	MemoryBlocks int
+	// PrefixIndexBlocks bounds the remembered prefix blocks of one upstream; 0 is none.
+	PrefixIndexBlocks int
 	// Unqueued sends each request at once to whatever the picker names, without
 	// tiers or limits. The baselines run like that.
 	Unqueued bool
@@ -48,58 +48,60 @@
 	// Arrived, and the Deadline of the whole answer.
 	Arrived  time.Time
 	Deadline time.Time
-	// FirstToken is the time in which the first token counts as in time; 0 is none.
-	FirstToken time.Duration
-	// Prompt tokens and the limit of Output tokens.
-	Prompt int
-	Output int
-	// Expected output tokens by the caller's own estimate; 0 where there is none.
-	Expected int
-	// Chain is the prompt's prefix sums.
-	Chain []uint64
+	// MaxTimeToFirstToken is the time in which the first token counts as in time; 0 is none.
+	MaxTimeToFirstToken time.Duration
+	// PromptTokens tokens and the limit of Output tokens.
+	PromptTokens int
+	MaxOutput    int
+	// ExpectedOutput output tokens by the caller's own estimate; 0 where there is none.
+	ExpectedOutput int
+	// PrefixHashes is the prompt's prefix sums.
+	PrefixHashes []uint64
 	// Bytes it holds while it waits.
 	Bytes int
-	// Patience is how long it may wait for room; 0 is as long as it can be in time.
-	Patience time.Duration
-	// Aim is the objective for the first token, which the choice of an upstream goes
+	// MaxWait is how long it may wait for room; 0 is as long as it can be in time.
+	MaxWait time.Duration
+	// LatencyObjective is the objective for the first token, which the choice of an upstream goes
 	// by; 0 is none. Unlike FirstToken, nothing is refused for it.
-	Aim time.Duration
-	// LateIsWorth tells that a late answer is still of use, so that it isn't refused
+	LatencyObjective time.Duration
+	// AllowLate tells that a late answer is still of use, so that it isn't refused
 	// because its end is predicted too late.
-	LateIsWorth bool
+	AllowLate bool
 	// Zone is the availability zone that it came to, and Region the zone's, where it is known.
 	Zone   string
 	Region string
-	// Exclude is an upstream that failed it already, by its ID.
-	Exclude string
-	// Without are upstreams that whoever sends it may not send to, by their IDs.
-	Without []string
-	// Homes says in which regions it may run.
-	Homes Homes
+	// FailedUpstream is an upstream that failed it already, by its ID.
+	FailedUpstream string
+	// ExcludedUpstreams are upstreams that whoever sends it may not send to, by their IDs.
+	ExcludedUpstreams []string
+	// RegionConstraint says in which regions it may run.
+	RegionConstraint RegionConstraint
 	// Value is the caller's.
 	Value any
 
 	item *queue.Item
 	// chances to end in time over all upstreams, as of a time.
-	chances   *balancer.Chances
+	chances   *balancer.CompletionProbabilities
 	chancesAt time.Time
 }
 
-// Homes says in which regions a request may run: in all, unless it is bound.
-type Homes struct {
+// RegionConstraint says in which regions a request may run: in all, unless it is bound.
+type RegionConstraint struct {
 	Bound   bool
 	Regions []string
 }
 
 // allow tells whether a request may run in a region.
-func (h Homes) allow(region string) bool { return !h.Bound || slices.Contains(h.Regions, region) }
+func (h RegionConstraint) allow(region string) bool {
+	return !h.Bound || slices.Contains(h.Regions, region)
+}
 
 // Grant lets a request be sent to an upstream now.
 type Grant struct {
 	Request  *Request
 	Upstream *balancer.Upstream
-	// Sent is when it was granted.
-	Sent time.Time
+	// GrantedAt is when it was granted.
+	GrantedAt time.Time
 	// Running is how many requests the upstream ran then, this one included.
 	Running int
 	// Limited tells whether the upstream was known to have named a limit.
@@ -114,8 +116,8 @@
 	released   bool // uncached no longer counts as pending
 }
 
-// Predicted returns the time in which the first token was expected.
-func (g *Grant) Predicted() time.Duration { return g.predicted }
+// PredictedFirstToken returns the time in which the first token was expected.
+func (g *Grant) PredictedFirstToken() time.Duration { return g.predicted }
 
 // Shed is a request given up before it was sent.
 type Shed struct {
@@ -144,7 +146,7 @@
 	// passAllowance is how long work may hold slots now that passes other work.
 	passAllowance time.Duration
 	coldStart     ColdStart
-	reach         Reach
+	reach         Reachability
 	room          []*balancer.Upstream // of the latest search
 	running       int                  // requests granted and not ended
 	held          int64                // how often limits of starts alone held work back
@@ -163,7 +165,7 @@
 func (c *Core) Queued(ranks int) []int {
 	out := make([]int, ranks)
 	for r := range out {
-		out[r] = c.queue.LenOf(r)
+		out[r] = c.queue.LenOfRank(r)
 	}
 	return out
 }
--- a/internal/scheduler/ending.go
+++ b/internal/scheduler/ending.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Ending is how a request that was granted an upstream ended there. The numbers go over
+// Result is how a request that was granted an upstream ended there. The numbers go over
 // the wire between instances: new ones are added at the end.
-type Ending uint8
+type Result uint8
 
 const (
 	// Cancelled: it wasn't sent, or its caller left, or its time was over. Nothing is
 	// learned of the upstream.
-	Cancelled Ending = iota
+	Cancelled Result = iota
 	// Completed: the whole answer came.
 	Completed
-	// Erred: the upstream answered with a failure of its own.
-	Erred
-	// LostAnswer: it was sent, and its answer got lost or broke off.
-	LostAnswer
+	// UpstreamError: the upstream answered with a failure of its own.
+	UpstreamError
+	// LostResponse: it was sent, and its answer got lost or broke off.
+	LostResponse
 	// Unreachable: no connection could be made.
 	Unreachable
 	// Busy: the upstream refused it for lack of room.
@@ -26,25 +26,25 @@
 )
 
 // IsKnown tells whether an ending that came over the wire is one of these.
-func (e Ending) IsKnown() bool { return e < endings }
+func (e Result) IsKnown() bool { return e < endings }
 
 // End records how a granted request ended, with the output tokens of a whole answer.
-func (c *Core) End(now time.Time, g *Grant, e Ending, output int) Decisions {
+func (c *Core) End(now time.Time, g *Grant, e Result, output int) Decisions {
 	switch e {
 	case Completed:
-		return c.Done(now, g, output)
-	case Erred:
-		return c.Erred(now, g)
-	case LostAnswer:
-		return c.Lost(now, g)
+		return c.RecordCompleted(now, g, output)
+	case UpstreamError:
+		return c.RecordUpstreamError(now, g)
+	case LostResponse:
+		return c.RecordLostResponse(now, g)
 	case Unreachable:
-		return c.Failed(now, g)
+		return c.RecordFailure(now, g)
 	case Busy:
-		return c.Busy(now, g)
+		return c.RecordBusy(now, g)
 	case Misdirected:
 		c.MarkLeaving(g.Upstream.ID)
-		return c.Cancelled(now, g)
+		return c.RecordCancelled(now, g)
 	default:
-		return c.Cancelled(now, g)
+		return c.RecordCancelled(now, g)
 	}
 }
--- a/internal/scheduler/homes_test.go
+++ b/internal/scheduler/homes_test.go
@@ -12,17 +12,17 @@
 // none that is left runs nowhere.
 func TestARequestRunsInItsHomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		homes   Homes
+		homes   RegionConstraint
 		exclude string
 		want    string
 	}{
-		"bound to one":                        {Homes{Bound: true, Regions: []string{"addis"}}, "", "a"},
-		"bound to both":                       {Homes{Bound: true, Regions: []string{"addis", "colombo"}}, "a", "b"},
-		"bound to none":                       {Homes{Bound: true}, "", ""},
-		"not bound":                           {Homes{}, "a", "b"},
-		"where it failed there is no other":   {Homes{Bound: true, Regions: []string{"addis"}}, "a", "a"},
-		"a zone whose region isn't known":     {Homes{Bound: true, Regions: []string{"prairie"}}, "", ""},
-		"the other has failed it, and is out": {Homes{Bound: true, Regions: []string{"addis"}}, "b", "a"},
+		"bound to one":                        {RegionConstraint{Bound: true, Regions: []string{"addis"}}, "", "a"},
+		"bound to both":                       {RegionConstraint{Bound: true, Regions: []string{"addis", "colombo"}}, "a", "b"},
+		"bound to none":                       {RegionConstraint{Bound: true}, "", ""},
+		"not bound":                           {RegionConstraint{}, "a", "b"},
+		"where it failed there is no other":   {RegionConstraint{Bound: true, Regions: []string{"addis"}}, "a", "a"},
+		"a zone whose region isn't known":     {RegionConstraint{Bound: true, Regions: []string{"prairie"}}, "", ""},
+		"the other has failed it, and is out": {RegionConstraint{Bound: true, Regions: []string{"addis"}}, "b", "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -30,7 +30,7 @@
 			core.SetMembers([]Member{{Address: "a", Region: "addis", Slots: 4}, {Address: "b", Region: "colombo", Slots: 4}})
 			for range 3 {
 				r := ask(0, 9)
-				r.Homes, r.Exclude = c.homes, c.exclude
+				r.RegionConstraint, r.FailedUpstream = c.homes, c.exclude
 				d := core.Submit(start, r)
 				if c.want == "" {
 					is.Equal(d.Sheds[0].Problem.Reason, api.ReasonNoUpstream)
--- a/internal/scheduler/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -154,9 +154,9 @@
 	l.owed += k.worth * j.size
 	l.carryOut(l.core.Submit(l.now, &Request{
 		Rank: k.rank, Organisation: "a", Share: 1, Arrived: l.now, Deadline: l.now.Add(k.deadline),
-		Patience: time.Duration(loadPatience * float64(k.objective)), Aim: k.objective, LateIsWorth: true,
-		Prompt: int(prompt), Output: int(k.most) * loadEventTokens, Value: j,
-		Expected: max(int(float64(events*loadEventTokens)*math.Exp(loadHint*l.random.NormFloat64())), 1),
+		MaxWait: time.Duration(loadPatience * float64(k.objective)), LatencyObjective: k.objective, AllowLate: true,
+		PromptTokens: int(prompt), MaxOutput: int(k.most) * loadEventTokens, Value: j,
+		ExpectedOutput: max(int(float64(events*loadEventTokens)*math.Exp(loadHint*l.random.NormFloat64())), 1),
 	}))
 }
 
@@ -178,13 +178,13 @@
 	if busy := l.read[g.Upstream.ID]; busy.After(begin) {
 		begin = busy
 	}
-	l.read[g.Upstream.ID] = begin.Add(time.Duration(float64(g.Request.Prompt) / loadPrefill[speed] * float64(time.Millisecond)))
+	l.read[g.Upstream.ID] = begin.Add(time.Duration(float64(g.Request.PromptTokens) / loadPrefill[speed] * float64(time.Millisecond)))
 	first := l.read[g.Upstream.ID].Sub(l.now) + loadPaces[speed]
 	whole := first + time.Duration(j.events-1)*loadPaces[speed]
 	left := g.Request.Deadline.Sub(l.now)
 	l.held += min(whole, left).Seconds()
 	if first < left {
-		l.later(first, func() { l.carryOut(l.core.FirstToken(l.now, g)) })
+		l.later(first, func() { l.carryOut(l.core.RecordFirstToken(l.now, g)) })
 	}
 	kind := l.byKind[j.kind.name]
 	if whole > left {
@@ -215,10 +215,10 @@
 }
 
 // aimed is the choice that is used, with a weight of answers that can't end in time.
-func aimed(unfinished time.Duration) *balancer.Aimed {
-	w := balancer.DefaultAimedWeights
+func aimed(unfinished time.Duration) *balancer.ObjectivePicker {
+	w := balancer.DefaultObjectiveWeights
 	w.Unfinished = unfinished
-	return &balancer.Aimed{Weights: w}
+	return &balancer.ObjectivePicker{Weights: w}
 }
 
 // The pattern: lengths spread so far that one answer in thirty outlives its deadline on a slow engine,
@@ -229,8 +229,8 @@
 	for name, times := range map[string]float64{"quiet": 0.6, "burst": 1.7} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			before := playLoad(desk, times, Options{Picker: &balancer.Aimed{Weights: balancer.AimedWeights{Late: 5, Reading: 0.3, Crowding: 300 * time.Millisecond, Failing: time.Second, Margin: 1}, AnyChance: true}}, 1)
-			after := playLoad(desk, times, Options{Picker: aimed(balancer.DefaultAimedWeights.Unfinished)}, 1)
+			before := playLoad(desk, times, Options{Picker: &balancer.ObjectivePicker{Weights: balancer.ObjectiveWeights{Late: 5, Prefill: 0.3, Occupancy: 300 * time.Millisecond, Failure: time.Second, Margin: 1}, IgnoreCompletionProbability: true}}, 1)
+			after := playLoad(desk, times, Options{Picker: aimed(balancer.DefaultObjectiveWeights.Unfinished)}, 1)
 			before.print(t, "whatever the length")
 			after.print(t, "by the chance to end")
 			is.True(after.vain/after.held < 0.5*before.vain/before.held)
@@ -244,8 +244,8 @@
 func TestShortWorkPassesLongWork(t *testing.T) {
 	is := is.New(t)
 	for _, times := range []float64{1.6, 1.9, 2.2} {
-		strict := playLoad(desk, times, Options{Picker: aimed(balancer.DefaultAimedWeights.Unfinished), StrictTiers: true}, 1)
-		passing := playLoad(desk, times, Options{Picker: aimed(balancer.DefaultAimedWeights.Unfinished)}, 1)
+		strict := playLoad(desk, times, Options{Picker: aimed(balancer.DefaultObjectiveWeights.Unfinished), StrictTiers: true}, 1)
+		passing := playLoad(desk, times, Options{Picker: aimed(balancer.DefaultObjectiveWeights.Unfinished)}, 1)
 		strict.print(t, "strict tiers")
 		passing.print(t, "short work passes")
 		share := func(l *load, name string) float64 { return l.byKind[name].share() }
@@ -263,9 +263,9 @@
 	c := newCore(9, "a")
 	for _, output := range []int{21, 70} {
 		d := c.Submit(start, ask(0, 60))
-		c.FirstToken(start, d.Grants[0])
+		c.RecordFirstToken(start, d.Grants[0])
 		c.End(start.Add(200*time.Millisecond), d.Grants[0], Completed, output)
-		is.Equal(c.Upstreams()[0].Speed.KnowsPace(), output == 70)
+		is.Equal(c.Upstreams()[0].Speed.KnowsInterval(), output == 70)
 	}
 }
 
--- a/internal/scheduler/members.go
+++ b/internal/scheduler/members.go
@@ -21,16 +21,16 @@
 	// Slots is how many requests it runs at once for all instances; 0 is unknown.
 	Slots   int
 	Leaving bool
-	// Born tells its processes apart, where it is known.
-	Born int64
+	// Incarnation tells its processes apart, where it is known.
+	Incarnation int64
 	// ColdUntil is until when it is cold, by what is published of it or has happened to it.
 	ColdUntil time.Time
-	// Limit is what it has named.
-	Limit balancer.NamedLimit
+	// AdvertisedLimit is what it has named.
+	AdvertisedLimit balancer.AdvertisedLimit
 	// MovedAt is when it moved to this core from another one, which knew Before of it; zero and nil
 	// where it wasn't.
-	MovedAt time.Time
-	Before  *balancer.Upstream
+	MovedAt  time.Time
+	Previous *balancer.Upstream
 }
 
 func (m Member) id() string { return cmp.Or(m.ID, m.Address) }
@@ -47,10 +47,10 @@
 	byID := make(map[string]*balancer.Upstream, len(members))
 	for _, m := range members {
 		u := known[m.id()]
-		if u == nil || u.Born != m.Born {
-			u = newUpstream(m, c.options.MemoryBlocks)
+		if u == nil || u.Incarnation != m.Incarnation {
+			u = newUpstream(m, c.options.PrefixIndexBlocks)
 			if !m.MovedAt.IsZero() {
-				u.Move(m.MovedAt, m.Before)
+				u.MoveFrom(m.MovedAt, m.Previous)
 			}
 		} else {
 			delete(known, m.id())
@@ -67,9 +67,9 @@
 	c.countOthers()
 }
 
-// ChangeMembers takes members that are new or have changed, and the IDs of those that have left the
+// UpdateMembers takes members that are new or have changed, and the IDs of those that have left the
 // list. All others stay as they are.
-func (c *Core) ChangeMembers(changed []Member, gone []string) {
+func (c *Core) UpdateMembers(changed []Member, gone []string) {
 	for _, id := range gone {
 		c.removeMember(id)
 	}
@@ -90,16 +90,16 @@
 
 func (c *Core) changeMember(m Member) {
 	known := c.byID[m.id()]
-	if known != nil && known.Born == m.Born {
+	if known != nil && known.Incarnation == m.Incarnation {
 		c.update(known, m)
 		return
 	}
-	u := newUpstream(m, c.options.MemoryBlocks)
+	u := newUpstream(m, c.options.PrefixIndexBlocks)
 	c.update(u, m)
 	c.byID[u.ID] = u
 	for _, l := range c.others {
-		u.OthersPending += l.Pending[u.ID]
-		u.OthersRunning += l.Running[u.ID]
+		u.PendingElsewhere += l.Pending[u.ID]
+		u.RunningElsewhere += l.Running[u.ID]
 	}
 	if known == nil {
 		c.upstreams = append(c.upstreams, u)
@@ -113,17 +113,17 @@
 func (c *Core) update(u *balancer.Upstream, m Member) {
 	u.Leaving = m.Leaving
 	u.Slots = m.Slots
-	u.Limits = c.limitsOf(u.Zone)
-	u.Named = m.Limit
-	u.SetRate(c.rateOf(u))
-	u.KeepCold(m.ColdUntil)
+	u.GrantLimits = c.limitsOf(u.Zone)
+	u.AdvertisedLimit = m.AdvertisedLimit
+	u.SetRateLimit(c.rateOf(u))
+	u.KeepColdUntil(m.ColdUntil)
 }
 
 func newUpstream(m Member, blocks int) *balancer.Upstream {
-	u := &balancer.Upstream{ID: m.id(), Address: m.Address, Zone: m.Zone, Region: m.Region, Born: m.Born}
+	u := &balancer.Upstream{ID: m.id(), Address: m.Address, Zone: m.Zone, Region: m.Region, Incarnation: m.Incarnation}
 	u.Speed, u.Window = newEstimates()
 	if blocks > 0 {
-		u.Memory = prefix.NewMemory(blocks)
+		u.PrefixIndex = prefix.NewIndex(blocks)
 	}
 	return u
 }
@@ -135,8 +135,8 @@
 	}
 }
 
-// Adopt takes what another instance, which owns the shard, has learned of an upstream's speed.
-func (c *Core) Adopt(id string, r estimate.Rates) {
+// AdoptRates takes what another instance, which owns the shard, has learned of an upstream's speed.
+func (c *Core) AdoptRates(id string, r estimate.Rates) {
 	if u := c.byID[id]; u != nil {
 		u.Speed.Adopt(r)
 	}
--- a/internal/scheduler/others.go
+++ b/internal/scheduler/others.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// LongRead is the reading time of a prompt from which on other instances are told
+// LongPrefill is the reading time of a prompt from which on other instances are told
 // at once, so that they send nothing urgent behind it.
-const LongRead = 100 * time.Millisecond
+const LongPrefill = 100 * time.Millisecond
 
-// IsLong tells whether a grant's prompt takes so long to read that the other
+// HasLongPrefill tells whether a grant's prompt takes so long to read that the other
 // instances should know at once.
-func (c *Core) IsLong(g *Grant) bool {
-	return g.Upstream.Speed.FirstToken(g.uncached) >= LongRead
+func (c *Core) HasLongPrefill(g *Grant) bool {
+	return g.Upstream.Speed.PredictFirstToken(g.uncached) >= LongPrefill
 }
 
 // Pending returns the prompt tokens that this instance has sent to each upstream
@@ -17,28 +17,28 @@
 func (c *Core) Pending() map[string]int {
 	out := map[string]int{}
 	for _, u := range c.upstreams {
-		if u.Pending > 0 {
-			out[u.ID] = u.Pending
+		if u.PendingTokens > 0 {
+			out[u.ID] = u.PendingTokens
 		}
 	}
 	return out
 }
 
-// CacheEvent takes an engine's word on its cache, which comes late and with gaps.
-func (c *Core) CacheEvent(address string, added, dropped []uint64) {
+// ApplyCacheEvent takes an engine's word on its cache, which comes late and with gaps.
+func (c *Core) ApplyCacheEvent(address string, added, dropped []uint64) {
 	for _, u := range c.upstreams {
-		if u.ID == address && u.Memory != nil {
-			u.Memory.Add(added)
-			u.Memory.Drop(dropped)
+		if u.ID == address && u.PrefixIndex != nil {
+			u.PrefixIndex.Add(added)
+			u.PrefixIndex.Drop(dropped)
 		}
 	}
 }
 
-// CacheCleared forgets what an engine's cache held, after its restart.
-func (c *Core) CacheCleared(address string) {
+// ClearCache forgets what an engine's cache held, after its restart.
+func (c *Core) ClearCache(address string) {
 	for _, u := range c.upstreams {
-		if u.ID == address && u.Memory != nil {
-			u.Memory.Clear()
+		if u.ID == address && u.PrefixIndex != nil {
+			u.PrefixIndex.Clear()
 		}
 	}
 }
@@ -65,9 +65,9 @@
 	return l
 }
 
-// SetOthers takes what another instance has told of its load; the zero Load forgets
+// SetInstanceLoad takes what another instance has told of its load; the zero Load forgets
 // the instance.
-func (c *Core) SetOthers(instance string, l Load) {
+func (c *Core) SetInstanceLoad(instance string, l Load) {
 	c.countOther(c.others[instance], -1)
 	c.countOther(l, 1)
 	if len(l.Pending) == 0 && len(l.Running) == 0 {
@@ -81,12 +81,12 @@
 func (c *Core) countOther(l Load, times int) {
 	for id, n := range l.Pending {
 		if u := c.byID[id]; u != nil {
-			u.OthersPending += times * n
+			u.PendingElsewhere += times * n
 		}
 	}
 	for id, n := range l.Running {
 		if u := c.byID[id]; u != nil {
-			u.OthersRunning += times * n
+			u.RunningElsewhere += times * n
 		}
 	}
 }
@@ -94,8 +94,8 @@
 // countOthers counts anew what all other instances have told.
 func (c *Core) countOthers() {
 	for _, u := range c.upstreams {
-		u.OthersPending = 0
-		u.OthersRunning = 0
+		u.PendingElsewhere = 0
+		u.RunningElsewhere = 0
 	}
 	for _, l := range c.others {
 		c.countOther(l, 1)
--- a/internal/scheduler/passing.go
+++ b/internal/scheduler/passing.go
@@ -56,7 +56,7 @@
 // holds is how long a request is expected to hold its slot.
 func (c *Core) holds(r *Request, choice balancer.Choice) time.Duration {
 	speed := &choice.Upstream.Speed
-	return speed.FirstToken(choice.Upstream.Ahead()+choice.Uncached) + speed.Decode(c.output(r), 1)
+	return speed.PredictFirstToken(choice.Upstream.TokensAhead()+choice.UncachedTokens) + speed.PredictDecode(c.output(r), 1)
 }
 
 // served learns, by rank, which share of what comes is granted, and not given up for lack of room.
--- a/internal/scheduler/rate.go
+++ b/internal/scheduler/rate.go
@@ -21,12 +21,12 @@
 // rateOf returns this instance's part of the limit that an upstream has named, which all of them share.
 func (c *Core) rateOf(u *balancer.Upstream) balancer.RateLimit {
 	switch {
-	case !u.Named.Set:
+	case !u.AdvertisedLimit.Set:
 		return balancer.RateLimit{}
-	case c.reach.Asked:
-		return balancer.RateLimit{Set: true, PerSecond: max(rateShare*u.Named.PerSecond, leastRate) * c.reach.partOf(u.Zone)}
+	case c.reach.Queried:
+		return balancer.RateLimit{Set: true, PerSecond: max(rateShare*u.AdvertisedLimit.PerSecond, leastRate) * c.reach.partOf(u.Zone)}
 	default:
-		return balancer.RateLimit{Set: true, PerSecond: max(aloneShare*u.Named.PerSecond, leastRate) * c.reach.Alone, Probabilistic: true}
+		return balancer.RateLimit{Set: true, PerSecond: max(aloneShare*u.AdvertisedLimit.PerSecond, leastRate) * c.reach.OwnShare, Probabilistic: true}
 	}
 }
 
@@ -37,11 +37,11 @@
 	for _, u := range c.eligible(r, c.upstreams) {
 		switch {
 		case !u.Usable(now):
-		case !u.Rate.Set:
+		case !u.RateLimit.Set:
 			return 0
 		default:
-			perSecond += u.Rate.PerSecond
-			ready += math.Floor(u.Saved(now))
+			perSecond += u.RateLimit.PerSecond
+			ready += math.Floor(u.AvailableTokens(now))
 		}
 	}
 	if perSecond == 0 {
--- a/internal/scheduler/rate_test.go
+++ b/internal/scheduler/rate_test.go
@@ -13,10 +13,10 @@
 // limitedCore has upstreams of many slots with these limits; a negative one is none.
 func limitedCore(limits ...float64) *Core {
 	c := newCore(100)
-	c.SetColdStart(ColdStart{}, Reach{Asked: true, Fleet: 1})
+	c.SetColdStart(ColdStart{}, Reachability{Queried: true, FleetShare: 1})
 	var members []Member
 	for i, perSecond := range limits {
-		members = append(members, Member{ID: string(rune('a' + i)), Slots: 50, Limit: balancer.NamedLimit{Set: perSecond >= 0, PerSecond: perSecond}})
+		members = append(members, Member{ID: string(rune('a' + i)), Slots: 50, AdvertisedLimit: balancer.AdvertisedLimit{Set: perSecond >= 0, PerSecond: perSecond}})
 	}
 	c.SetMembers(members)
 	c.Poll(start)
@@ -25,7 +25,7 @@
 
 // patient is a request that waits for room for so long.
 func patient(now time.Time, patience time.Duration) *Request {
-	return &Request{Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(time.Minute), Patience: patience, LateIsWorth: true, Prompt: 100, Output: 10}
+	return &Request{Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(time.Minute), MaxWait: patience, AllowLate: true, PromptTokens: 100, MaxOutput: 10}
 }
 
 // The sum of the limits is what the service can take: what can't go in its time is refused at once, with the time in
@@ -76,27 +76,27 @@
 		is.Equal(d.Grants[0].Upstream.ID, "b")
 		is.True(!d.Grants[0].Limited)
 	}
-	is.Equal(c.Cold(start), 0)
+	is.Equal(c.ColdUpstreams(start), 0)
 	is.Equal(c.byID["a"].Failures, 0)
-	is.Equal(c.byID["a"].AvoidUntil, time.Time{})
+	is.Equal(c.byID["a"].CircuitOpenUntil, time.Time{})
 }
 
 // Parts of a fleet that don't reach each other share the limit, and one that nobody asks decides by chance.
 func TestALimitIsSharedByPartsOfAFleet(t *testing.T) {
 	for name, c := range map[string]struct {
-		reach Reach
+		reach Reachability
 		rate  balancer.RateLimit
 	}{
-		"all in reach":       {Reach{Asked: true, Fleet: 1}, balancer.RateLimit{Set: true, PerSecond: 9}},
-		"a third in reach":   {Reach{Asked: true, Zones: map[string]float64{"": 1.0 / 3}, Fleet: 0.5}, balancer.RateLimit{Set: true, PerSecond: 3}},
-		"another zone":       {Reach{Asked: true, Zones: map[string]float64{"x": 1.0 / 3}, Fleet: 0.5}, balancer.RateLimit{Set: true, PerSecond: 4.5}},
-		"alone of a hundred": {Reach{Alone: 0.01}, balancer.RateLimit{Set: true, PerSecond: 0.05, Probabilistic: true}},
+		"all in reach":       {Reachability{Queried: true, FleetShare: 1}, balancer.RateLimit{Set: true, PerSecond: 9}},
+		"a third in reach":   {Reachability{Queried: true, ZoneShares: map[string]float64{"": 1.0 / 3}, FleetShare: 0.5}, balancer.RateLimit{Set: true, PerSecond: 3}},
+		"another zone":       {Reachability{Queried: true, ZoneShares: map[string]float64{"x": 1.0 / 3}, FleetShare: 0.5}, balancer.RateLimit{Set: true, PerSecond: 4.5}},
+		"alone of a hundred": {Reachability{OwnShare: 0.01}, balancer.RateLimit{Set: true, PerSecond: 0.05, Probabilistic: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			core := limitedCore(10)
 			core.SetColdStart(ColdStart{}, c.reach)
-			is.Equal(core.byID["a"].Rate, c.rate)
+			is.Equal(core.byID["a"].RateLimit, c.rate)
 		})
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,9 +17,9 @@
 
 func newCore(maxItems int, addresses ...string) *Core {
 	c := New(Options{
-		Picker:       balancer.NewPredictive(1, rand.New(rand.NewPCG(1, 2))),
-		Limits:       queue.Limits{MaxItems: maxItems, MaxBytes: 1 << 20},
-		MemoryBlocks: 100,
+		Picker:            balancer.NewPredictive(1, rand.New(rand.NewPCG(1, 2))),
+		Limits:            queue.Limits{MaxItems: maxItems, MaxBytes: 1 << 20},
+		PrefixIndexBlocks: 100,
 	})
 	var members []Member
 	for _, a := range addresses {
@@ -30,7 +30,7 @@
 }
 
 func ask(rank int, seconds int) *Request {
-	return &Request{Rank: rank, Organisation: "a", Share: 1, Arrived: start, Deadline: start.Add(time.Duration(seconds) * time.Second), Prompt: 100, Output: 10}
+	return &Request{Rank: rank, Organisation: "a", Share: 1, Arrived: start, Deadline: start.Add(time.Duration(seconds) * time.Second), PromptTokens: 100, MaxOutput: 10}
 }
 
 // occupy grants requests until the next one is queued.
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	c := newCore(100, "a")
 	r := ask(0, 3600)
-	r.Prompt, r.Output = 0, 0
+	r.PromptTokens, r.MaxOutput = 0, 0
 	is.Equal(len(c.Submit(start, r).Grants), 1)
 }
 
@@ -70,9 +70,9 @@
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
-	c.SetOthers("p", Load{Running: map[string]int{"u": 7, "other": 9}})
+	c.SetInstanceLoad("p", Load{Running: map[string]int{"u": 7, "other": 9}})
 	is.Equal(len(occupy(c)), 3)
-	c.SetOthers("p", Load{})
+	c.SetInstanceLoad("p", Load{})
 	is.Equal(len(c.Poll(start).Grants), 1) // the one that was queued
 }
 
@@ -91,8 +91,8 @@
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 1}})
 	occupy(c)
 	r := ask(0, 3600)
-	r.LateIsWorth = true
-	r.Patience = 200 * time.Millisecond
+	r.AllowLate = true
+	r.MaxWait = 200 * time.Millisecond
 	is.Equal(len(c.Submit(start, r).Sheds), 0)
 	is.Equal(len(c.Poll(start.Add(100*time.Millisecond)).Sheds), 0)
 	d := c.Poll(start.Add(201 * time.Millisecond))
@@ -107,7 +107,7 @@
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 1}})
 	late := func() *Request {
 		r := ask(0, 3600)
-		r.LateIsWorth, r.Patience = true, 200*time.Millisecond
+		r.AllowLate, r.MaxWait = true, 200*time.Millisecond
 		return r
 	}
 	now := start.Add(time.Second)
@@ -128,8 +128,8 @@
 	is.Equal(len(c.Submit(start, high).Grants), 0)
 	var order []*Request
 	for _, g := range running {
-		c.FirstToken(start.Add(time.Millisecond), g)
-		for _, next := range c.Done(start.Add(time.Second), g, 10).Grants {
+		c.RecordFirstToken(start.Add(time.Millisecond), g)
+		for _, next := range c.RecordCompleted(start.Add(time.Second), g, 10).Grants {
 			order = append(order, next.Request)
 		}
 	}
@@ -144,11 +144,11 @@
 	for i := range 10 { // let the upstream be known
 		now := start.Add(time.Duration(i) * time.Second)
 		g := c.Submit(now, ask(0, 3600)).Grants[0]
-		c.FirstToken(now.Add(30*time.Millisecond), g)
-		c.Done(now.Add(300*time.Millisecond), g, 10)
+		c.RecordFirstToken(now.Add(30*time.Millisecond), g)
+		c.RecordCompleted(now.Add(300*time.Millisecond), g, 10)
 	}
 	long := ask(0, 1)
-	long.Prompt = 1_000_000
+	long.PromptTokens = 1_000_000
 	d := c.Submit(start, long)
 	is.Equal(d.Sheds[0].Problem.Reason, api.ReasonDeadlineTooShort)
 	is.True(d.Sheds[0].Problem.RetryAfterSeconds > 0)
@@ -173,8 +173,8 @@
 	for range 40 { // one a 100 ms leaves the queue
 		now = now.Add(100 * time.Millisecond)
 		g := running[0]
-		running = append(running[1:], c.FirstToken(now, g).Grants...)
-		running = append(running, c.Done(now, g, 10).Grants...)
+		running = append(running[1:], c.RecordFirstToken(now, g).Grants...)
+		running = append(running, c.RecordCompleted(now, g, 10).Grants...)
 	}
 	short := ask(0, 0)
 	short.Arrived, short.Deadline = now, now.Add(2*time.Second)
@@ -192,12 +192,12 @@
 	is := is.New(t)
 	c := newCore(100, "a")
 	g := c.Submit(start, ask(0, 3600)).Grants[0]
-	c.Failed(start, g)
+	c.RecordFailure(start, g)
 	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 0)
 	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 0)
 	d := c.Poll(start.Add(avoidFirst))
 	is.Equal(len(d.Grants), 1) // a single request tests it
-	c.FirstToken(start.Add(avoidFirst+time.Millisecond), d.Grants[0])
+	c.RecordFirstToken(start.Add(avoidFirst+time.Millisecond), d.Grants[0])
 	is.Equal(c.upstreams[0].Failures, 0)
 }
 
@@ -207,12 +207,12 @@
 	c := newCore(100, "a")
 	first := c.Submit(start, ask(0, 3600)).Grants[0]
 	lost := c.Submit(start, ask(0, 3600)).Grants[0]
-	first.Upstream.Heard(start.Add(10 * time.Millisecond))
-	c.Lost(start.Add(20*time.Millisecond), lost)
+	first.Upstream.MarkSeen(start.Add(10 * time.Millisecond))
+	c.RecordLostResponse(start.Add(20*time.Millisecond), lost)
 	is.Equal(len(c.Submit(start.Add(20*time.Millisecond), ask(0, 3600)).Grants), 1)
 	is.True(first.Upstream.FailureShare > 0) // it is remembered all the same
 	silent := start.Add(20*time.Millisecond + aliveFor)
-	c.Lost(silent, first)
+	c.RecordLostResponse(silent, first)
 	is.Equal(len(c.Submit(silent, ask(0, 3600)).Grants), 0) // nothing else has come
 }
 
@@ -223,9 +223,9 @@
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
 	running := c.Submit(start, ask(0, 3600)).Grants[0]
-	c.Failed(start, c.Submit(start, ask(0, 3600)).Grants[0])
+	c.RecordFailure(start, c.Submit(start, ask(0, 3600)).Grants[0])
 	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 0)
-	running.Upstream.Heard(start.Add(time.Millisecond))
+	running.Upstream.MarkSeen(start.Add(time.Millisecond))
 	is.Equal(len(c.Poll(start.Add(2*time.Millisecond)).Grants), 1)
 }
 
@@ -241,7 +241,7 @@
 	}
 	cut := start.Add(time.Second)
 	for _, g := range running {
-		c.Failed(cut, g)
+		c.RecordFailure(cut, g)
 	}
 	is.Equal(len(c.Submit(cut, ask(0, 3600)).Grants), 0)
 	is.Equal(len(c.Poll(cut.Add(avoidFirst)).Grants), 1)
@@ -254,7 +254,7 @@
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
 	now := start
 	for range 20 {
-		c.Failed(now, c.Submit(now, ask(0, 3600)).Grants[0])
+		c.RecordFailure(now, c.Submit(now, ask(0, 3600)).Grants[0])
 		now = now.Add(avoidMost)
 	}
 	is.Equal(len(c.Submit(now, ask(0, 3600)).Grants), 1)
@@ -265,20 +265,20 @@
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
-	c.Failed(start, c.Submit(start, ask(0, 3600)).Grants[0])
+	c.RecordFailure(start, c.Submit(start, ask(0, 3600)).Grants[0])
 	c.Submit(start, ask(0, 3600))
 	c.Submit(start, ask(0, 3600))
 	healed := start.Add(time.Millisecond)
-	d := c.TestAvoided(healed)
+	d := c.ProbeOpenCircuits(healed)
 	is.Equal(len(d.Grants), 1)
-	is.Equal(len(c.FirstToken(healed, d.Grants[0]).Grants), 1) // it lives
+	is.Equal(len(c.RecordFirstToken(healed, d.Grants[0]).Grants), 1) // it lives
 }
 
 // A failure that an upstream answers with comes fast and shows that it lives.
 func TestAnAnsweredFailureAvoidsNothing(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	c.Erred(start, c.Submit(start, ask(0, 3600)).Grants[0])
+	c.RecordUpstreamError(start, c.Submit(start, ask(0, 3600)).Grants[0])
 	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 1)
 }
 
@@ -291,11 +291,11 @@
 	is.True(c.Cancel(r))
 	is.True(!c.Cancel(r))
 	for len(running) > 0 {
-		d := c.Cancelled(start, running[0])
+		d := c.RecordCancelled(start, running[0])
 		running = append(running[1:], d.Grants...)
 	}
 	is.Equal(c.upstreams[0].Running, 0)
-	is.Equal(c.upstreams[0].Pending, 0)
+	is.Equal(c.upstreams[0].PendingTokens, 0)
 }
 
 // Whatever comes, a higher tier is never shed for load while a lower one waits,
@@ -340,12 +340,12 @@
 				running = running[1:]
 				switch rapid.IntRange(0, 3).Draw(t, "end") {
 				case 0:
-					check(c.Failed(now, g))
+					check(c.RecordFailure(now, g))
 				case 1:
-					check(c.Busy(now, g))
+					check(c.RecordBusy(now, g))
 				default:
-					check(c.FirstToken(now, g))
-					check(c.Done(now, g, 10))
+					check(c.RecordFirstToken(now, g))
+					check(c.RecordCompleted(now, g, 10))
 				}
 			}
 			check(c.Poll(now))
@@ -354,11 +354,11 @@
 		for len(running) > 0 {
 			g := running[0]
 			running = running[1:]
-			check(c.Cancelled(now, g))
+			check(c.RecordCancelled(now, g))
 		}
 		for _, u := range c.upstreams {
-			if u.Running != 0 || u.Pending != 0 {
-				t.Fatalf("%s is left with %d running, %d pending", u.Address, u.Running, u.Pending)
+			if u.Running != 0 || u.PendingTokens != 0 {
+				t.Fatalf("%s is left with %d running, %d pending", u.Address, u.Running, u.PendingTokens)
 			}
 		}
 	})
--- a/internal/scheduler/serve.go
+++ b/internal/scheduler/serve.go
@@ -56,7 +56,7 @@
 }
 
 func (c *Core) expire(now time.Time, d *Decisions) {
-	for _, it := range c.queue.Expired(now) {
+	for _, it := range c.queue.RemoveExpired(now) {
 		r := it.Value.(*Request)
 		c.shedLower(now, r.Rank, d)
 		c.shed(now, d, r, api.ReasonDeadlineExpired, "no upstream had room in time; come back after the time given")
@@ -93,7 +93,7 @@
 func (c *Core) withRoom(now time.Time) []*balancer.Upstream {
 	c.room = c.room[:0]
 	for _, u := range c.upstreams {
-		if u.HasRoom(now, 1) {
+		if u.HasCapacity(now, 1) {
 			c.room = append(c.room, u)
 		}
 	}
@@ -105,7 +105,7 @@
 // the most important tier goes first, but for short work that may pass it. A tier none of which any
 // upstream with room suits holds up no other.
 func (c *Core) next(now time.Time, room []*balancer.Upstream) (*queue.Item, balancer.Choice) {
-	waiting := c.queue.Waiting()
+	waiting := c.queue.WaitingRanks()
 	if !c.options.StrictTiers {
 		if it, choice := c.passing(now, waiting, room); it != nil {
 			return it, choice
@@ -150,18 +150,18 @@
 func (c *Core) pick(now time.Time, r *Request, room []*balancer.Upstream) balancer.Choice {
 	w := c.describe(now, r)
 	if r.chances == nil || now.Sub(r.chancesAt) >= chancesFor {
-		r.chances, r.chancesAt = balancer.ChancesOf(now, c.eligible(r, c.upstreams), w), now
+		r.chances, r.chancesAt = balancer.NewCompletionProbabilities(now, c.eligible(r, c.upstreams), w), now
 	}
-	w.Chances = r.chances
+	w.CompletionProbabilities = r.chances
 	return c.options.Picker.Pick(now, c.eligible(r, room), w)
 }
 
 // cachedShare is the share of a prompt that the upstream holds; 0 without a prompt.
 func cachedShare(r *Request, choice balancer.Choice) float64 {
-	if r.Prompt == 0 {
+	if r.PromptTokens == 0 {
 		return 0
 	}
-	return 1 - float64(choice.Uncached)/float64(r.Prompt)
+	return 1 - float64(choice.UncachedTokens)/float64(r.PromptTokens)
 }
 
 func (c *Core) sendUnqueued(now time.Time, r *Request, d *Decisions) {
@@ -176,22 +176,22 @@
 // eligible leaves out of a list upstreams of regions in which the request may not run, those that its sender
 // may not send to, and the one that failed it already, where the service has another.
 func (c *Core) eligible(r *Request, list []*balancer.Upstream) []*balancer.Upstream {
-	if r.Homes.Bound {
-		list = without(list, func(u *balancer.Upstream) bool { return !r.Homes.allow(u.Region) })
+	if r.RegionConstraint.Bound {
+		list = without(list, func(u *balancer.Upstream) bool { return !r.RegionConstraint.allow(u.Region) })
 	}
-	if len(r.Without) > 0 {
-		list = without(list, func(u *balancer.Upstream) bool { return slices.Contains(r.Without, u.ID) })
+	if len(r.ExcludedUpstreams) > 0 {
+		list = without(list, func(u *balancer.Upstream) bool { return slices.Contains(r.ExcludedUpstreams, u.ID) })
 	}
-	if r.Exclude == "" || !c.hasOther(r) {
+	if r.FailedUpstream == "" || !c.hasOther(r) {
 		return list
 	}
-	return without(list, func(u *balancer.Upstream) bool { return u.ID == r.Exclude })
+	return without(list, func(u *balancer.Upstream) bool { return u.ID == r.FailedUpstream })
 }
 
 // hasOther tells whether there is an upstream for a request beside the one that failed it.
 func (c *Core) hasOther(r *Request) bool {
 	return slices.ContainsFunc(c.upstreams, func(u *balancer.Upstream) bool {
-		return u.ID != r.Exclude && r.Homes.allow(u.Region) && !slices.Contains(r.Without, u.ID)
+		return u.ID != r.FailedUpstream && r.RegionConstraint.allow(u.Region) && !slices.Contains(r.ExcludedUpstreams, u.ID)
 	})
 }
 
@@ -208,73 +208,73 @@
 
 // output is the number of output tokens that is expected of an answer.
 func (c *Core) output(r *Request) int {
-	if r.Expected > 0 {
-		return r.Expected
+	if r.ExpectedOutput > 0 {
+		return r.ExpectedOutput
 	}
-	return c.outputs.expect(r.Output)
+	return c.outputs.expect(r.MaxOutput)
 }
 
 func (c *Core) describe(now time.Time, r *Request) balancer.Work {
 	w := balancer.Work{
-		Prompt: r.Prompt,
-		Output: c.output(r),
-		Limit:  r.Output,
-		Spread: c.lengths.spread,
-		Chain:  r.Chain,
-		EndIn:  r.Deadline.Sub(now),
-		Zone:   r.Zone,
-		Region: r.Region,
+		PromptTokens:   r.PromptTokens,
+		ExpectedOutput: c.output(r),
+		MaxOutput:      r.MaxOutput,
+		Spread:         c.lengths.spread,
+		PrefixHashes:   r.PrefixHashes,
+		EndWithin:      r.Deadline.Sub(now),
+		Zone:           r.Zone,
+		Region:         r.Region,
 	}
-	if r.Aim > 0 {
-		w.FirstIn = max(r.Arrived.Add(r.Aim).Sub(now), 1) // late already: the sooner the better
+	if r.LatencyObjective > 0 {
+		w.FirstTokenWithin = max(r.Arrived.Add(r.LatencyObjective).Sub(now), 1) // late already: the sooner the better
 	}
 	return w
 }
 
 func (c *Core) work(r *Request) float64 {
-	return float64(r.Prompt + outputWeight*c.output(r))
+	return float64(r.PromptTokens + outputWeight*c.output(r))
 }
 
 func (c *Core) grant(now time.Time, r *Request, choice balancer.Choice) *Grant {
 	u := choice.Upstream
-	c.options.Picker.Sent(u, c.describe(now, r))
-	u.Pending += choice.Uncached
+	c.options.Picker.RecordSent(u, c.describe(now, r))
+	u.PendingTokens += choice.UncachedTokens
 	u.Running++
 	c.running++
-	u.NoteStart(now)
+	u.RecordGrant(now)
 	c.served.note(now, r.Rank, true)
 	c.allowPassing(c.holds(r, choice))
-	if u.Memory != nil {
-		u.Memory.Add(r.Chain)
+	if u.PrefixIndex != nil {
+		u.PrefixIndex.Add(r.PrefixHashes)
 	}
 	return &Grant{
 		Request:   r,
 		Upstream:  u,
-		Sent:      now,
-		Running:   u.Running + u.OthersRunning,
-		Limited:   u.Named.Set,
+		GrantedAt: now,
+		Running:   u.Running + u.RunningElsewhere,
+		Limited:   u.AdvertisedLimit.Set,
 		Rates:     u.Speed.Rates(),
-		uncached:  choice.Uncached,
-		ahead:     u.Ahead(),
-		predicted: u.Speed.FirstToken(u.Ahead()),
+		uncached:  choice.UncachedTokens,
+		ahead:     u.TokensAhead(),
+		predicted: u.Speed.PredictFirstToken(u.TokensAhead()),
 	}
 }
 
-// FirstToken records the first token of an answer, or the head of a service's.
-func (c *Core) FirstToken(now time.Time, g *Grant) Decisions {
+// RecordFirstToken records the first token of an answer, or the head of a service's.
+func (c *Core) RecordFirstToken(now time.Time, g *Grant) Decisions {
 	if g.firstToken.IsZero() {
 		g.firstToken = now
 		u := g.Upstream
 		c.release(g)
-		took := now.Sub(g.Sent)
+		took := now.Sub(g.GrantedAt)
 		if isLate(took, g.predicted) {
-			u.Window.Late(now)
+			u.Window.RecordLate(now)
 		} else {
-			u.Window.Good(u.Running)
+			u.Window.RecordOnTime(u.Running)
 		}
 		u.Speed.ObserveFirstToken(g.ahead, took)
 		c.recovered(now, u)
-		u.Heard(now)
+		u.MarkSeen(now)
 	}
 	return c.Poll(now)
 }
@@ -290,90 +290,90 @@
 		return
 	}
 	g.released = true
-	g.Upstream.Pending -= g.uncached
+	g.Upstream.PendingTokens -= g.uncached
 }
 
 func isLate(took, predicted time.Duration) bool {
 	return took > predicted+lateFirstToken && float64(took) > lateFirstTokenFactor*float64(predicted)
 }
 
-// Done records the end of an answer with so many output tokens.
-func (c *Core) Done(now time.Time, g *Grant, output int) Decisions {
+// RecordCompleted records the end of an answer with so many output tokens.
+func (c *Core) RecordCompleted(now time.Time, g *Grant, output int) Decisions {
 	c.end(g)
 	g.Upstream.ObserveEnd(false)
-	g.Upstream.Heard(now)
+	g.Upstream.MarkSeen(now)
 	c.lengths.observe(c.output(g.Request), output)
-	c.outputs.observe(g.Request.Output, output)
+	c.outputs.observe(g.Request.MaxOutput, output)
 	if !g.firstToken.IsZero() && output >= paceTokens {
 		interval := now.Sub(g.firstToken) / time.Duration(output-1)
 		g.Upstream.Speed.ObserveInterval(interval)
 		if interval > maxInterval && g.Upstream.Running > 1 {
-			g.Upstream.Window.Late(now)
+			g.Upstream.Window.RecordLate(now)
 		}
 	}
 	return c.Poll(now)
 }
 
-// Cancelled records that the caller went away; nothing is learned of it.
-func (c *Core) Cancelled(now time.Time, g *Grant) Decisions {
+// RecordCancelled records that the caller went away; nothing is learned of it.
+func (c *Core) RecordCancelled(now time.Time, g *Grant) Decisions {
 	c.end(g)
 	return c.Poll(now)
 }
 
-// Erred records that the upstream answered with a failure of its own: it lives.
-func (c *Core) Erred(now time.Time, g *Grant) Decisions {
+// RecordUpstreamError records that the upstream answered with a failure of its own: it lives.
+func (c *Core) RecordUpstreamError(now time.Time, g *Grant) Decisions {
 	c.end(g)
-	g.Upstream.Heard(now)
+	g.Upstream.MarkSeen(now)
 	g.Upstream.ObserveEnd(true)
 	return c.Poll(now)
 }
 
-// Lost records that the request was sent and its answer got lost. An upstream that has
+// RecordLostResponse records that the request was sent and its answer got lost. An upstream that has
 // sent something else just now lives; any other one is avoided.
-func (c *Core) Lost(now time.Time, g *Grant) Decisions {
+func (c *Core) RecordLostResponse(now time.Time, g *Grant) Decisions {
 	g.Upstream.ObserveEnd(true)
-	if g.Upstream.HeardAfter(now.Add(-aliveFor)) {
+	if g.Upstream.SeenAfter(now.Add(-aliveFor)) {
 		c.end(g)
 		return c.Poll(now)
 	}
-	return c.Failed(now, g)
+	return c.RecordFailure(now, g)
 }
 
-// Failed records that the upstream can't be reached, or is silent: it is avoided for a
+// RecordFailure records that the upstream can't be reached, or is silent: it is avoided for a
 // time that doubles with each failure in a row. What was sent before the last failure was
 // known fails for the same cause, and says nothing new.
-func (c *Core) Failed(now time.Time, g *Grant) Decisions {
+func (c *Core) RecordFailure(now time.Time, g *Grant) Decisions {
 	c.end(g)
 	u := g.Upstream
-	if u.Failures > 0 && g.Sent.Before(u.FailedAt) {
+	if u.Failures > 0 && g.GrantedAt.Before(u.FailedAt) {
 		return c.Poll(now)
 	}
 	u.Failures++
 	u.FailedAt = now
 	pause := avoidFirst << min(u.Failures-1, 10)
-	u.AvoidUntil = now.Add(min(pause, avoidMost))
+	u.CircuitOpenUntil = now.Add(min(pause, avoidMost))
 	u.Window.Reset()
-	if u.Memory != nil {
-		u.Memory.Clear()
+	if u.PrefixIndex != nil {
+		u.PrefixIndex.Clear()
 	}
 	return c.Poll(now)
 }
 
-// TestAvoided lets upstreams that are avoided be tested now, by one request each. It is
+// ProbeOpenCircuits lets upstreams that are avoided be tested now, by one request each. It is
 // called when a cut may have healed: what failed may have been the way to them.
-func (c *Core) TestAvoided(now time.Time) Decisions {
+func (c *Core) ProbeOpenCircuits(now time.Time) Decisions {
 	for _, u := range c.upstreams {
-		if u.AvoidUntil.After(now) {
-			u.AvoidUntil = now
+		if u.CircuitOpenUntil.After(now) {
+			u.CircuitOpenUntil = now
 		}
 	}
 	return c.Poll(now)
 }
 
-// Busy records that the upstream refused the request for lack of room.
-func (c *Core) Busy(now time.Time, g *Grant) Decisions {
+// RecordBusy records that the upstream refused the request for lack of room.
+func (c *Core) RecordBusy(now time.Time, g *Grant) Decisions {
 	c.end(g)
-	g.Upstream.Window.Late(now)
+	g.Upstream.Window.RecordLate(now)
 	return c.Poll(now)
 }
 
--- a/internal/slopes/parts.go
+++ b/internal/slopes/parts.go
@@ -202,7 +202,7 @@
 	c := scheduler.New(scheduler.Options{
 		Picker:       balancer.NewPredictive(1, rand.New(rand.NewPCG(1, 2))),
 		Limits:       queue.Limits{MaxItems: 1 << 20, MaxBytes: 1 << 40},
-		MemoryBlocks: memoryBlocks,
+		PrefixIndexBlocks: memoryBlocks,
 	})
 	c.SetMembers(members(list(upstreams)))
 	return c
@@ -223,7 +223,7 @@
 				for i := range chain {
 					chain[i] = rand.Uint64()
 				}
-				u.Memory.Add(chain)
+				u.PrefixIndex.Add(chain)
 			}
 			return c
 		})
@@ -234,8 +234,8 @@
 	now := time.Now()
 	return &scheduler.Request{
 		Rank: i % 4, Organisation: fmt.Sprint("organisation-", i%100), Share: 1,
-		Arrived: now, Deadline: now.Add(time.Hour), Prompt: 500, Output: 200, Bytes: 2000,
-		Chain: []uint64{1, uint64(i), uint64(i) + 1, uint64(i) + 2},
+		Arrived: now, Deadline: now.Add(time.Hour), PromptTokens: 500, MaxOutput: 200, Bytes: 2000,
+		PrefixHashes: []uint64{1, uint64(i), uint64(i) + 1, uint64(i) + 2},
 	}
 }
 
@@ -249,8 +249,8 @@
 			i++
 			d := c.Submit(now, sample(i))
 			if len(d.Grants) == 1 {
-				c.FirstToken(now, d.Grants[0])
-				c.Done(now, d.Grants[0], 1)
+				c.RecordFirstToken(now, d.Grants[0])
+				c.RecordCompleted(now, d.Grants[0], 1)
 			}
 		})
 	})
@@ -278,8 +278,8 @@
 			now := time.Now()
 			g := running[0]
 			running = running[1:]
-			running = append(running, c.FirstToken(now, g).Grants...)
-			running = append(running, c.Done(now, g, 1).Grants...)
+			running = append(running, c.RecordFirstToken(now, g).Grants...)
+			running = append(running, c.RecordCompleted(now, g, 1).Grants...)
 			submit()
 		})
 	})
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -53,7 +53,7 @@
 	slow    float64
 	waiting []*Sequence
 	running []*Sequence
-	cache   *prefix.Memory
+	cache   *prefix.Index
 	dropped []uint64
 	onCache func(added, dropped []uint64)
 
@@ -66,7 +66,7 @@
 // NewModel returns an idle engine with an empty cache.
 func NewModel(s Spec) *Model {
 	m := &Model{spec: s, slow: 1}
-	m.cache = prefix.NewObservedMemory(s.CacheBlocks, func(b uint64) { m.dropped = append(m.dropped, b) })
+	m.cache = prefix.NewIndexOnEvict(s.CacheBlocks, func(b uint64) { m.dropped = append(m.dropped, b) })
 	return m
 }
 
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -291,7 +291,7 @@
 	r.sequence = &Sequence{
 		Prompt: max(len(prompt)/prefix.BytesPerToken, 1),
 		Output: output,
-		Chain:  prefix.Chain(prompt),
+		Chain:  prefix.Hashes(prompt),
 		Value:  r,
 	}
 	e.mu.Lock()
