--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// lateFactor is how far the predicted wait must pass the time there is
-	// before a request is refused on a prediction alone.
+	// lateFactor is the ratio of predicted to available wait above which a request is refused on
+	// the prediction alone.
 	lateFactor = 1.3
-	// minRetryAfter is the shortest time to come back, unless set otherwise.
+	// minRetryAfter is the default of Options.MinRetryAfter.
 	minRetryAfter = time.Second
-	// maxRetryAfter is the longest.
+	// maxRetryAfter bounds the retry delay in a refusal.
 	maxRetryAfter = 60 * time.Second
 )
 
-// Submit takes a new request: it is granted, queued or shed, and it may displace
-// a less important one.
+// Submit adds a new request. It is granted, queued or shed, and it may displace a waiting request
+// of a lower tier.
 func (c *Core) Submit(now time.Time, r *Request) Decisions {
 	var d Decisions
 	if !c.hasUsable(r) {
-		c.shed(now, &d, r, api.ReasonNoUpstream, "no upstream is in service; come back later, or check the platform's instance list")
+		c.shed(now, &d, r, api.ReasonNoUpstream, "no upstream is in service; retry later, or check the platform's instance list")
 		return d
 	}
 	if c.options.Unqueued {
 		c.sendUnqueued(now, r, &d)
 		return d
 	}
-	if !r.AllowLate && !c.feasible(now, r) {
+	if !r.AllowLate && !c.isFeasible(now, r) {
 		c.shed(now, &d, r, api.ReasonDeadlineTooShort, "even an idle upstream would answer too late; allow more time or send less")
 		return d
 	}
 	startBy := c.startBy(r)
 	if r.MaxWait > 0 && startBy.Before(now) && now.Before(r.Deadline) {
-		startBy = now // it has waited enough elsewhere: it goes at once or not at all
+		startBy = now // MaxWait has passed elsewhere: grant it immediately or not at all
 	}
 	if startBy.Before(now) {
-		c.shedLower(now, r.Rank, &d)
-		c.shed(now, &d, r, api.ReasonPredictedLate, "the upstreams are too slow now for it to be in time; come back after the time given")
+		c.shedLowerTiers(now, r.Rank, &d)
+		c.shed(now, &d, r, api.ReasonPredictedLate, "the upstreams are currently too slow for the request to be in time; retry after the given time")
 		return d
 	}
 	r.item = &queue.Item{
@@ -49,7 +49,7 @@
 		Organisation: r.Organisation,
 		Share:        r.Share,
 		StartBy:      startBy,
-		Work:         c.work(r),
+		Work:         c.cost(r),
 		Bytes:        r.Bytes,
 		Value:        r,
 	}
@@ -57,26 +57,26 @@
 		return d
 	}
 	c.queue.Push(r.item)
-	c.pump(now, &d)
+	c.dispatch(now, &d)
 	if c.floor.excludes(now, r.Rank) && c.queue.Remove(r.item) {
 		c.shedDisplaced(now, r.item, &d)
 	}
 	return d
 }
 
-// admit makes room for the request, or sheds it.
+// admit frees space in the queue for the request and reports true, or sheds the request.
 func (c *Core) admit(now time.Time, r *Request, d *Decisions) bool {
-	wait := max(c.predictedWait(r), c.limitedWait(now, r))
+	wait := max(c.predictedWait(r), c.rateLimitWait(now, r))
 	slack := r.item.StartBy.Sub(now)
 	if float64(wait) > lateFactor*float64(slack) {
-		c.shedLower(now, r.Rank, d)
-		c.shed(now, d, r, api.ReasonPredictedLate, "the queue is too long for it to be in time; come back after the time given")
+		c.shedLowerTiers(now, r.Rank, d)
+		c.shed(now, d, r, api.ReasonPredictedLate, "the queue is too long for the request to be in time; retry after the given time")
 		return false
 	}
 	for !c.queue.HasSpace(r.Bytes) {
 		victim := c.queue.Displace(r.Rank)
 		if victim == nil {
-			c.shed(now, d, r, api.ReasonQueueFull, "the queue is full; come back after the time given")
+			c.shed(now, d, r, api.ReasonQueueFull, "the queue is full; retry after the given time")
 			return false
 		}
 		c.shedDisplaced(now, victim, d)
@@ -84,19 +84,18 @@
 	return true
 }
 
-// shedLower gives up all waiting work of lower tiers, because work of this rank
-// is about to be shed: a higher tier is never shed before a lower one.
-func (c *Core) shedLower(now time.Time, rank int, d *Decisions) {
+// shedLowerTiers sheds all waiting requests of tiers below rank. It is called before a request of
+// that rank is shed, so that a higher tier is never shed while a lower one waits.
+func (c *Core) shedLowerTiers(now time.Time, rank int, d *Decisions) {
 	for _, it := range c.queue.RemoveLower(rank) {
 		c.shedDisplaced(now, it, d)
 	}
 }
 
-// LowestRank returns the least important rank that waits, or -1.
+// LowestRank returns the least important rank with waiting requests, or -1 if none wait.
 func (c *Core) LowestRank() int { return c.queue.LowestRank() }
 
-// Displace gives up the least important waiting request of a lower tier than rank,
-// if there is one.
+// Displace sheds the least important waiting request of a tier below rank, if there is one.
 func (c *Core) Displace(now time.Time, rank int) Decisions {
 	var d Decisions
 	if victim := c.queue.Displace(rank); victim != nil {
@@ -105,47 +104,48 @@
 	return d
 }
 
-// floorHold is how long lower work isn't queued after a peer has told that work
-// of a rank is shed.
-const floorHold = time.Second
+// floorDuration is the time for which lower tiers are not queued after a peer has announced that it
+// sheds requests of a rank.
+const floorDuration = time.Second
 
-// floor keeps lower work out of the queue while a peer sheds higher work.
+// floor keeps lower tiers out of the queue while a peer sheds a higher one.
 type floor struct {
 	rank  int
 	until time.Time
 }
 
-// excludes tells whether work of a rank may not wait now.
+// excludes reports whether requests of a rank may not wait at the given time.
 func (f floor) excludes(now time.Time, rank int) bool {
 	return rank > f.rank && now.Before(f.until)
 }
 
-// ShedLower is called when a peer of the zone is about to shed work of this rank
-// for the same upstreams. For a while lower work is sent at once or not at all.
+// ShedLower sheds all waiting requests of tiers below rank. It is called when a peer of the zone is
+// about to shed requests of this rank for the same upstreams. For floorDuration, new requests of
+// lower tiers are granted immediately or shed.
 func (c *Core) ShedLower(now time.Time, rank int) Decisions {
 	if !c.floor.excludes(now, rank) {
-		c.floor = floor{rank: rank, until: now.Add(floorHold)}
+		c.floor = floor{rank: rank, until: now.Add(floorDuration)}
 	}
 	var d Decisions
-	c.shedLower(now, rank, &d)
+	c.shedLowerTiers(now, rank, &d)
 	return d
 }
 
 func (c *Core) shedDisplaced(now time.Time, it *queue.Item, d *Decisions) {
-	c.shed(now, d, it.Value.(*Request), api.ReasonDisplaced, "work of a higher tier needs the capacity; come back after the time given")
+	c.shed(now, d, it.Value.(*Request), api.ReasonDisplaced, "work of a higher tier needs the capacity; retry after the given time")
 }
 
 func (c *Core) shed(now time.Time, d *Decisions, r *Request, reason api.Reason, detail string) {
 	if reason != api.ReasonNoUpstream && reason != api.ReasonDeadlineTooShort {
-		c.served.note(now, r.Rank, false)
+		c.grantShares.record(now, r.Rank, false)
 	}
-	p := api.Refuse(reason, "%s (%s)", detail, c.state(now, r)).WithRetryAfter(c.retryAfter(now, r))
+	p := api.Refuse(reason, "%s (%s)", detail, c.describeState(now, r)).WithRetryAfter(c.retryAfter(now, r))
 	d.Sheds = append(d.Sheds, Shed{Request: r, Problem: p})
 }
 
-// state is what a refusal was decided on, for whoever looks for its cause.
-func (c *Core) state(now time.Time, r *Request) string {
-	running, others, slots, avoided, leaving, limited := 0, 0, 0, 0, 0, 0
+// describeState describes the state on which a refusal was decided, for diagnosis.
+func (c *Core) describeState(now time.Time, r *Request) string {
+	running, others, slots, failing, leaving, limited := 0, 0, 0, 0, 0, 0
 	for _, u := range c.upstreams {
 		if u.Leaving {
 			leaving++
@@ -154,20 +154,20 @@
 		others += u.RunningElsewhere
 		slots += u.Slots
 		if u.Failures > 0 {
-			avoided++
+			failing++
 		}
 		if u.AdvertisedLimit.Set {
 			limited++
 		}
 	}
 	return fmt.Sprintf("rank %d, %d waiting, predicted wait %v, running %d here and %d elsewhere, %d slots, of %d upstreams %d failing, %d leaving or evacuated, %d cold and %d with a limit",
-		r.Rank, c.queue.Len(), c.predictedWait(r).Round(time.Millisecond), running, others, slots, len(c.upstreams), avoided, leaving, c.ColdUpstreams(now), limited)
+		r.Rank, c.queue.Len(), c.predictedWait(r).Round(time.Millisecond), running, others, slots, len(c.upstreams), failing, leaving, c.ColdUpstreams(now), limited)
 }
 
-// feasible tells whether any upstream could answer in time if it had nothing else
-// to do.
-func (c *Core) feasible(now time.Time, r *Request) bool {
-	output := c.output(r)
+// isFeasible reports whether any sampled upstream could complete the response in time if it were
+// idle.
+func (c *Core) isFeasible(now time.Time, r *Request) bool {
+	output := c.expectedOutput(r)
 	for _, u := range c.sampleUpstreams() {
 		first, whole := u.Speed.PredictIdle(r.PromptTokens, output)
 		inTime := r.MaxTimeToFirstToken == 0 || !now.Add(first).After(r.Arrived.Add(r.MaxTimeToFirstToken))
@@ -178,8 +178,8 @@
 	return false
 }
 
-// startBy is the latest start that lets the answer be in time, on an upstream of
-// middling speed.
+// startBy returns the latest start with which the response is in time on an upstream of typical
+// speed.
 func (c *Core) startBy(r *Request) time.Time {
 	startBy := r.Deadline
 	if r.MaxWait > 0 {
@@ -188,7 +188,7 @@
 	if r.AllowLate {
 		return startBy
 	}
-	first, whole := c.typical(r)
+	first, whole := c.typicalLatency(r)
 	startBy = earlier(startBy, r.Deadline.Add(-whole))
 	if r.MaxTimeToFirstToken > 0 {
 		startBy = earlier(startBy, r.Arrived.Add(r.MaxTimeToFirstToken-first))
@@ -203,11 +203,11 @@
 	return a
 }
 
-// typical predicts the first token and the whole answer on the better half of
-// the upstreams, idle.
-func (c *Core) typical(r *Request) (first, whole time.Duration) {
+// typicalLatency returns the lower quartiles of the predicted time to the first token and of the
+// whole response on idle upstreams.
+func (c *Core) typicalLatency(r *Request) (first, whole time.Duration) {
 	var firsts, wholes []time.Duration
-	output := c.output(r)
+	output := c.expectedOutput(r)
 	for _, u := range c.sampleUpstreams() {
 		if !u.Speed.Known() {
 			firsts = append(firsts, 0)
@@ -226,7 +226,7 @@
 	return firsts[len(firsts)/4], wholes[len(wholes)/4]
 }
 
-// predictedWait is the time until all work that goes first has been sent.
+// predictedWait returns the time until all work queued ahead of the request has been sent.
 func (c *Core) predictedWait(r *Request) time.Duration {
 	rate := c.drain.rate()
 	if rate <= 0 {
@@ -235,7 +235,8 @@
 	return time.Duration(c.queue.WorkAhead(r.Rank) / rate * float64(time.Second))
 }
 
-// retryAfter is when the work now waiting will have drained.
+// retryAfter returns the time in which the work queued now will have drained, within the bounds of
+// a retry delay.
 func (c *Core) retryAfter(now time.Time, r *Request) time.Duration {
-	return min(max(c.predictedWait(r), c.limitedWait(now, r), c.options.MinRetryAfter), maxRetryAfter)
+	return min(max(c.predictedWait(r), c.rateLimitWait(now, r), c.options.MinRetryAfter), maxRetryAfter)
 }
--- /dev/null
+++ b/internal/scheduler/advertised_limit.go
@@ -0,0 +1,54 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"github.com/tacktally/tacktally/internal/balancer"
+)
+
+const (
+	// rateShare is the share of an advertised limit that is granted. The rest covers requests
+	// granted in one second that arrive in another, and moments in which two instances own a shard.
+	rateShare = 0.9
+	// isolatedRateShare is the share that all isolated instances together grant. Each decides at
+	// random when it may grant.
+	isolatedRateShare = 0.5
+	// minRate is the lowest rate, in requests per second, at which an upstream is used. With none,
+	// the end of its limit would not be noticed.
+	minRate = 0.1
+)
+
+// rateOf returns this instance's share of the advertised limit of an upstream, which applies to all
+// instances together.
+func (c *Core) rateOf(u *balancer.Upstream) balancer.RateLimit {
+	switch {
+	case !u.AdvertisedLimit.Set:
+		return balancer.RateLimit{}
+	case c.reachability.Queried:
+		return balancer.RateLimit{Set: true, PerSecond: max(rateShare*u.AdvertisedLimit.PerSecond, minRate) * c.reachability.shareOf(u.Zone)}
+	default:
+		return balancer.RateLimit{Set: true, PerSecond: max(isolatedRateShare*u.AdvertisedLimit.PerSecond, minRate) * c.reachability.OwnShare, Probabilistic: true}
+	}
+}
+
+// rateLimitWait returns the time after which the upstreams' rate limits allow a new request of this
+// rank, behind those that wait. It is 0 if any usable upstream has no limit.
+func (c *Core) rateLimitWait(now time.Time, r *Request) time.Duration {
+	perSecond, ready := 0.0, 0.0
+	for _, u := range c.eligible(r, c.upstreams) {
+		switch {
+		case !u.Usable(now):
+		case !u.RateLimit.Set:
+			return 0
+		default:
+			perSecond += u.RateLimit.PerSecond
+			ready += math.Floor(u.AvailableTokens(now))
+		}
+	}
+	if perSecond == 0 {
+		return 0
+	}
+	before := float64(c.queue.CountAhead(r.Rank)) + 1 - ready
+	return time.Duration(min(max(before, 0)/perSecond, maxRetryAfter.Seconds()) * float64(time.Second))
+}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/tacktally/tacktally/internal/queue"
 )
 
-// A decision among so many upstreams, a half or nine in ten of whose slots are taken, and the end of
-// another request. In the second case long answers wait that none of the free upstreams suits.
+// BenchmarkDecision grants one request and ends another, with half or nine in ten of the slots
+// taken. In the second case long requests wait for which none of the free upstreams is suitable.
 func BenchmarkDecision(b *testing.B) {
 	for _, load := range []struct{ n, taken int }{{60, 5}, {60, 9}, {160, 5}, {160, 9}, {1000, 5}, {1000, 9}} {
 		n := load.n
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,13 +1,13 @@
-// Package scheduler decides when a request goes to which upstream, and which
-// requests are refused.
+// Package scheduler decides which upstream serves a request and when, and which requests are
+// refused.
 //
-// Core is one set's scheduler as a plain state machine: each method takes the
-// time and returns what is to be done. The dispatcher drives it with the clock,
-// the experiments with virtual time. Engines admit what they are sent in order
-// of arrival, so the queue stays here, and each engine gets only as much as
-// keeps it busy.
+// Core schedules the requests of one set of upstreams. It is a state machine without goroutines,
+// timers or I/O: each method takes the current time and returns the decisions to carry out. The
+// daemon drives it with the wall clock, the experiments with virtual time. Engines admit requests
+// in order of arrival, so requests wait in the scheduler's queue and an engine is sent only as many
+// as keep it busy.
 //
-// Not safe for concurrent use.
+// A Core is not safe for concurrent use.
 package scheduler
 
 import (
@@ -21,111 +21,118 @@
 	"github.com/tacktally/tacktally/internal/queue"
 )
 
-// Options of a Core.
+// Options configures a Core.
 type Options struct {
-	// Picker chooses upstreams.
+	// Picker selects the upstream of a request.
 	Picker balancer.Picker
 	// Limits bounds the queue.
 	Limits queue.Limits
-	// PrefixIndexBlocks bounds the remembered prefix blocks of one upstream; 0 is none.
+	// PrefixIndexBlocks bounds the prefix blocks tracked for each upstream; 0 disables tracking.
 	PrefixIndexBlocks int
-	// Unqueued sends each request at once to whatever the picker names, without
-	// tiers or limits. The baselines run like that.
+	// Unqueued grants each request immediately to the upstream that the picker returns, without
+	// tiers or limits. The baselines run in this mode.
 	Unqueued bool
-	// StrictTiers lets no short work of a lower tier pass what waits of a higher one.
+	// StrictTiers disables backfill: no request of a lower tier is granted before a waiting one of
+	// a higher tier that can be granted.
 	StrictTiers bool
-	// MinRetryAfter is the shortest time to come back that is told; a second where
-	// absent.
+	// MinRetryAfter is the shortest retry delay in a refusal. The default is one second.
 	MinRetryAfter time.Duration
 }
 
-// Request is what the scheduler knows of a request.
+// Request describes a request to the scheduler.
 type Request struct {
-	// Rank of its tier; 0 is the most important.
-	Rank         int
+	// Rank of the request's tier; 0 is the most important.
+	Rank int
+	// Organisation that sent the request, and its weight within the tier.
 	Organisation string
 	Share        float64
-	// Arrived, and the Deadline of the whole answer.
+	// Arrived is the time of arrival, Deadline the time by which the response must be complete.
 	Arrived  time.Time
 	Deadline time.Time
-	// MaxTimeToFirstToken is the time in which the first token counts as in time; 0 is none.
+	// MaxTimeToFirstToken is the longest time from arrival to the first token. A request that is
+	// predicted to exceed it is refused. 0 means no limit.
 	MaxTimeToFirstToken time.Duration
-	// PromptTokens tokens and the limit of Output tokens.
+	// PromptTokens is the length of the prompt, MaxOutput the limit of output tokens.
 	PromptTokens int
 	MaxOutput    int
-	// ExpectedOutput output tokens by the caller's own estimate; 0 where there is none.
+	// ExpectedOutput is the caller's estimate of the output tokens; 0 if there is none.
 	ExpectedOutput int
-	// PrefixHashes is the prompt's prefix sums.
+	// PrefixHashes are the prompt's prefix hashes (see package prefix).
 	PrefixHashes []uint64
-	// Bytes it holds while it waits.
+	// Bytes counts towards the queue's limit while the request waits.
 	Bytes int
-	// MaxWait is how long it may wait for room; 0 is as long as it can be in time.
+	// MaxWait is the longest time from arrival for which the request may wait for an upstream. 0
+	// leaves the wait to the deadline.
 	MaxWait time.Duration
-	// LatencyObjective is the objective for the first token, which the choice of an upstream goes
-	// by; 0 is none. Unlike FirstToken, nothing is refused for it.
+	// LatencyObjective is the target for the time from arrival to the first token. It guides the
+	// choice of the upstream; unlike MaxTimeToFirstToken it refuses nothing. 0 means none.
 	LatencyObjective time.Duration
-	// AllowLate tells that a late answer is still of use, so that it isn't refused
-	// because its end is predicted too late.
+	// AllowLate reports whether a late response is still useful. Such a request is not refused
+	// because its completion is predicted to be late.
 	AllowLate bool
-	// Zone is the availability zone that it came to, and Region the zone's, where it is known.
+	// Zone is the availability zone at which the request arrived, Region that zone's region if
+	// known.
 	Zone   string
 	Region string
-	// FailedUpstream is an upstream that failed it already, by its ID.
+	// FailedUpstream is the ID of an upstream that has already failed this request. It is used
+	// again only if the request has no other.
 	FailedUpstream string
-	// ExcludedUpstreams are upstreams that whoever sends it may not send to, by their IDs.
+	// ExcludedUpstreams are the IDs of upstreams to which the instance that sends the request may
+	// not send.
 	ExcludedUpstreams []string
-	// RegionConstraint says in which regions it may run.
+	// RegionConstraint restricts the regions in which the request may run.
 	RegionConstraint RegionConstraint
-	// Value is the caller's.
+	// Value belongs to the caller; the scheduler does not use it.
 	Value any
 
 	item *queue.Item
-	// chances to end in time over all upstreams, as of a time.
-	chances   *balancer.CompletionProbabilities
-	chancesAt time.Time
+	// probabilities of completion over all upstreams, computed at probabilitiesAt.
+	probabilities   *balancer.CompletionProbabilities
+	probabilitiesAt time.Time
 }
 
-// RegionConstraint says in which regions a request may run: in all, unless it is bound.
+// RegionConstraint restricts a request to Regions if Bound is set. Otherwise it may run in any
+// region.
 type RegionConstraint struct {
 	Bound   bool
 	Regions []string
 }
 
-// allow tells whether a request may run in a region.
+// allow reports whether a request may run in a region.
 func (h RegionConstraint) allow(region string) bool {
 	return !h.Bound || slices.Contains(h.Regions, region)
 }
 
-// Grant lets a request be sent to an upstream now.
+// Grant permits a request to be sent to an upstream now.
 type Grant struct {
 	Request  *Request
 	Upstream *balancer.Upstream
-	// GrantedAt is when it was granted.
+	// GrantedAt is the time of the grant.
 	GrantedAt time.Time
-	// Running is how many requests the upstream ran then, this one included.
+	// Running is the number of requests that the upstream ran at that time, including this one.
 	Running int
-	// Limited tells whether the upstream was known to have named a limit.
+	// Limited reports whether the upstream had an advertised limit at that time.
 	Limited bool
-	// Rates are what was known of the upstream's speed then.
+	// Rates is the upstream's estimated speed at that time.
 	Rates estimate.Rates
 
-	uncached   int
-	ahead      int // prompt tokens to be read before its first token, its own included
-	predicted  time.Duration
-	firstToken time.Time
-	released   bool // uncached no longer counts as pending
+	uncachedTokens      int
+	tokensAhead         int // prompt tokens to prefill before the first token, including this request's
+	predictedFirstToken time.Duration
+	firstTokenAt        time.Time
+	pendingReleased     bool // uncachedTokens have been subtracted from the upstream's PendingTokens
 }
 
-// PredictedFirstToken returns the time in which the first token was expected.
-func (g *Grant) PredictedFirstToken() time.Duration { return g.predicted }
+// PredictedFirstToken returns the predicted time from the grant to the first token.
+func (g *Grant) PredictedFirstToken() time.Duration { return g.predictedFirstToken }
 
-// Shed is a request given up before it was sent.
+// Shed is a request that was refused before it was sent.
 type Shed struct {
 	Request *Request
 	Problem *api.Problem
 }
 
-// Decisions is what is to be done after a call.
+// Decisions are the grants and refusals to carry out after a call.
 type Decisions struct {
 	Grants []*Grant
 	Sheds  []Shed
@@ -133,35 +140,35 @@
 
 // Core schedules the requests of one set of upstreams.
 type Core struct {
-	options   Options
-	queue     *queue.Queue
-	upstreams []*balancer.Upstream
-	byID      map[string]*balancer.Upstream // those in upstreams
-	others    map[string]Load               // by instance
-	floor     floor
-	drain     drainRate
-	outputs   outputRatio
-	lengths   lengths
-	served    served
-	// passAllowance is how long work may hold slots now that passes other work.
-	passAllowance time.Duration
-	coldStart     ColdStart
-	reach         Reachability
-	room          []*balancer.Upstream // of the latest search
-	running       int                  // requests granted and not ended
-	held          int64                // how often limits of starts alone held work back
+	options       Options
+	queue         *queue.Queue
+	upstreams     []*balancer.Upstream
+	byID          map[string]*balancer.Upstream // the entries of upstreams by ID
+	instanceLoads map[string]Load               // load of each other instance
+	floor         floor
+	drain         drainRate
+	outputs       outputRatio
+	lengthError   lengthError
+	grantShares   grantShares
+	// backfillAllowance is the slot time that backfill may use now.
+	backfillAllowance time.Duration
+	coldStart         ColdStart
+	reachability      Reachability
+	withCapacity      []*balancer.Upstream // result of the latest findCapacity, reused
+	running           int                  // requests granted and not ended
+	limitedGrants     int64                // see LimitedGrants
 }
 
 // New returns a Core without upstreams.
 func New(o Options) *Core {
 	o.MinRetryAfter = cmp.Or(o.MinRetryAfter, minRetryAfter)
-	return &Core{options: o, byID: map[string]*balancer.Upstream{}, queue: queue.New(o.Limits), others: map[string]Load{}, outputs: newOutputRatio(), lengths: newLengths(), served: served{}}
+	return &Core{options: o, byID: map[string]*balancer.Upstream{}, queue: queue.New(o.Limits), instanceLoads: map[string]Load{}, outputs: newOutputRatio(), lengthError: newLengthError(), grantShares: grantShares{}}
 }
 
-// Upstreams returns the upstreams. The caller must not change them.
+// Upstreams returns the upstreams. The caller must not modify the slice.
 func (c *Core) Upstreams() []*balancer.Upstream { return c.upstreams }
 
-// Queued returns how many requests of each rank wait, up to the given rank.
+// Queued returns the number of waiting requests of each rank below ranks.
 func (c *Core) Queued(ranks int) []int {
 	out := make([]int, ranks)
 	for r := range out {
@@ -170,10 +177,11 @@
 	return out
 }
 
-// NextExpiry returns when a waiting request will have to be given up.
+// NextExpiry returns the earliest time at which a waiting request expires, and false if none waits.
 func (c *Core) NextExpiry() (time.Time, bool) { return c.queue.EarliestStartBy() }
 
-// hasUsable tells whether any upstream may get work, now or once it has room.
+// hasUsable reports whether any eligible upstream may be granted the request, now or once it has
+// capacity.
 func (c *Core) hasUsable(r *Request) bool {
 	for _, u := range c.eligible(r, c.upstreams) {
 		if !u.Leaving {
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain_rate.go
@@ -9,15 +9,15 @@
 	drainGain = 0.4
 )
 
-// drainRate learns how much work a second leaves the queue while work waits.
+// drainRate estimates the rate at which work leaves the queue while more work waits.
 type drainRate struct {
-	smoothed float64 // work a second, 0 before the first whole window
+	smoothed float64 // work per second; 0 before the first complete window
 	started  time.Time
 	work     float64
 }
 
-// sent records work sent; waiting tells whether more work waits.
-func (d *drainRate) sent(now time.Time, work float64, waiting bool) {
+// recordSent records work sent. waiting reports whether more work waits.
+func (d *drainRate) recordSent(now time.Time, work float64, waiting bool) {
 	if !waiting {
 		d.started = time.Time{}
 		return
@@ -42,8 +42,8 @@
 	d.work = 0
 }
 
-// idle records that nothing waits.
-func (d *drainRate) idle(time.Time) { d.started = time.Time{} }
+// recordIdle records that the queue is empty.
+func (d *drainRate) recordIdle(time.Time) { d.started = time.Time{} }
 
-// rate returns the learned rate, or 0 while none is known.
+// rate returns the estimate, or 0 before the first complete window.
 func (d *drainRate) rate() float64 { return d.smoothed }
--- a/internal/scheduler/born_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -10,9 +10,9 @@
 	"github.com/tacktally/tacktally/internal/queue"
 )
 
-// An upstream that starts again under its ID holds and knows nothing of before: what ran there
-// takes no place of the new process, and what was learned of the old one is dropped.
-func TestAnUpstreamThatStartsAgainIsAnother(t *testing.T) {
+// An upstream that restarts under its ID is a new process: requests granted to the old process do
+// not occupy its slots, and what was learned of the old process is dropped.
+func TestRestartedUpstreamStartsWithFreshState(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	c := New(Options{Limits: queue.Limits{MaxItems: 9, MaxBytes: 1 << 20}, Picker: &balancer.ObjectivePicker{Weights: balancer.DefaultObjectiveWeights}, PrefixIndexBlocks: 16})
@@ -28,7 +28,7 @@
 	is.True(old[0].Upstream.Leaving)
 
 	c.End(now, old[0], Cancelled, 0)
-	is.Equal(fresh[0].Upstream.Running, 1) // the end of the former run frees no place
+	is.Equal(fresh[0].Upstream.Running, 1) // the end of the old request frees no slot of the new process
 
 	c.SetMembers([]Member{{ID: "i-1", Address: "10.0.0.1:80", Slots: 1, Incarnation: 2, Leaving: true}})
 	is.True(c.Upstreams()[0] == fresh[0].Upstream) // the same process
--- a/internal/scheduler/members.go
+++ b/internal/scheduler/members.go
@@ -10,34 +10,34 @@
 	"github.com/tacktally/tacktally/internal/prefix"
 )
 
-// Member is an upstream as a list names it.
+// Member is one entry of a list of upstreams.
 type Member struct {
-	// ID tells apart upstreams that have the same address one after the other;
-	// the address where absent.
+	// ID distinguishes upstreams that use the same address one after another. The default is the
+	// address.
 	ID      string
 	Address string
 	Zone    string
 	Region  string
-	// Slots is how many requests it runs at once for all instances; 0 is unknown.
+	// Slots is the number of requests that it runs concurrently for all instances; 0 means unknown.
 	Slots   int
 	Leaving bool
-	// Incarnation tells its processes apart, where it is known.
+	// Incarnation is the number of the upstream's process, if known.
 	Incarnation int64
-	// ColdUntil is until when it is cold, by what is published of it or has happened to it.
+	// ColdUntil is the end of its cold start, as published or as inferred from events.
 	ColdUntil time.Time
-	// AdvertisedLimit is what it has named.
+	// AdvertisedLimit is the request rate that the upstream accepts, if it advertises one.
 	AdvertisedLimit balancer.AdvertisedLimit
-	// MovedAt is when it moved to this core from another one, which knew Before of it; zero and nil
-	// where it wasn't.
+	// MovedAt is the time at which the upstream moved here from another Core, and Previous the
+	// state there. Zero and nil if it did not move.
 	MovedAt  time.Time
 	Previous *balancer.Upstream
 }
 
 func (m Member) id() string { return cmp.Or(m.ID, m.Address) }
 
-// SetMembers replaces the list of upstreams. What was learned of those that stay
-// is kept. Those gone from the list get nothing new. One that has started again under its ID
-// is another upstream: what runs by grants of before doesn't run there any more.
+// SetMembers replaces the list of upstreams. The state of upstreams that stay in the list is kept;
+// removed ones are granted no more requests. An upstream with a new incarnation starts with fresh
+// state: requests granted to the previous process do not occupy its slots.
 func (c *Core) SetMembers(members []Member) {
 	known := make(map[string]*balancer.Upstream, len(c.upstreams))
 	for _, u := range c.upstreams {
@@ -59,18 +59,18 @@
 		next = append(next, u)
 		byID[u.ID] = u
 	}
-	for _, gone := range known {
-		gone.Leaving = true
+	for _, removed := range known {
+		removed.Leaving = true
 	}
 	c.upstreams = next
 	c.byID = byID
-	c.countOthers()
+	c.recountLoads()
 }
 
-// UpdateMembers takes members that are new or have changed, and the IDs of those that have left the
-// list. All others stay as they are.
-func (c *Core) UpdateMembers(changed []Member, gone []string) {
-	for _, id := range gone {
+// UpdateMembers applies changes to the list of upstreams: members that are new or changed, and the
+// IDs of those removed. All others stay as they are.
+func (c *Core) UpdateMembers(changed []Member, removed []string) {
+	for _, id := range removed {
 		c.removeMember(id)
 	}
 	for _, m := range changed {
@@ -79,13 +79,13 @@
 }
 
 func (c *Core) removeMember(id string) {
-	gone := c.byID[id]
-	if gone == nil {
+	removed := c.byID[id]
+	if removed == nil {
 		return
 	}
-	gone.Leaving = true
+	removed.Leaving = true
 	delete(c.byID, id)
-	c.upstreams = slices.DeleteFunc(c.upstreams, func(u *balancer.Upstream) bool { return u == gone })
+	c.upstreams = slices.DeleteFunc(c.upstreams, func(u *balancer.Upstream) bool { return u == removed })
 }
 
 func (c *Core) changeMember(m Member) {
@@ -97,7 +97,7 @@
 	u := newUpstream(m, c.options.PrefixIndexBlocks)
 	c.update(u, m)
 	c.byID[u.ID] = u
-	for _, l := range c.others {
+	for _, l := range c.instanceLoads {
 		u.PendingElsewhere += l.Pending[u.ID]
 		u.RunningElsewhere += l.Running[u.ID]
 	}
@@ -109,11 +109,11 @@
 	c.upstreams[slices.Index(c.upstreams, known)] = u
 }
 
-// update takes what a list says of an upstream.
+// update applies a list entry to an upstream.
 func (c *Core) update(u *balancer.Upstream, m Member) {
 	u.Leaving = m.Leaving
 	u.Slots = m.Slots
-	u.GrantLimits = c.limitsOf(u.Zone)
+	u.GrantLimits = c.grantLimitsOf(u.Zone)
 	u.AdvertisedLimit = m.AdvertisedLimit
 	u.SetRateLimit(c.rateOf(u))
 	u.KeepColdUntil(m.ColdUntil)
@@ -128,14 +128,16 @@
 	return u
 }
 
-// MarkLeaving stops new work to an upstream at its own word or a peer's.
+// MarkLeaving stops new grants to an upstream that announced that it leaves, itself or through a
+// peer.
 func (c *Core) MarkLeaving(id string) {
 	if u := c.byID[id]; u != nil {
 		u.Leaving = true
 	}
 }
 
-// AdoptRates takes what another instance, which owns the shard, has learned of an upstream's speed.
+// AdoptRates applies speed estimates of an upstream that another instance, the owner of the shard,
+// has learned.
 func (c *Core) AdoptRates(id string, r estimate.Rates) {
 	if u := c.byID[id]; u != nil {
 		u.Speed.Adopt(r)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -29,14 +29,15 @@
 	return c
 }
 
-func ask(rank int, seconds int) *Request {
+// newRequest returns a request of a rank whose deadline is the given number of seconds from start.
+func newRequest(rank int, seconds int) *Request {
 	return &Request{Rank: rank, Organisation: "a", Share: 1, Arrived: start, Deadline: start.Add(time.Duration(seconds) * time.Second), PromptTokens: 100, MaxOutput: 10}
 }
 
-// occupy grants requests until the next one is queued.
-func occupy(c *Core) (running []*Grant) {
+// fillUpstreams submits requests until one of them is queued, and returns the grants.
+func fillUpstreams(c *Core) (running []*Grant) {
 	for {
-		d := c.Submit(start, ask(0, 3600))
+		d := c.Submit(start, newRequest(0, 3600))
 		if len(d.Grants) == 0 {
 			return running
 		}
@@ -44,53 +45,53 @@
 	}
 }
 
-func TestNothingIsSentToALeavingUpstream(t *testing.T) {
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a", "b")
 	c.SetMembers([]Member{{Address: "a", Leaving: true}, {Address: "b"}})
-	for _, g := range occupy(c) {
+	for _, g := range fillUpstreams(c) {
 		is.Equal(g.Upstream.Address, "b")
 	}
 	c = newCore(100, "a")
 	c.MarkLeaving("a")
-	d := c.Submit(start, ask(0, 9))
+	d := c.Submit(start, newRequest(0, 9))
 	is.Equal(d.Sheds[0].Problem.Reason, api.ReasonNoUpstream)
 }
 
-// A request to a plain service has no prompt. It must not wait until it is urgent.
-func TestARequestWithoutAPromptIsSentAtOnce(t *testing.T) {
+// A request to a plain service has no prompt. It must not wait until it becomes urgent.
+func TestRequestWithoutPromptIsGrantedImmediately(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	r := ask(0, 3600)
+	r := newRequest(0, 3600)
 	r.PromptTokens, r.MaxOutput = 0, 0
 	is.Equal(len(c.Submit(start, r).Grants), 1)
 }
 
-func TestSlotsBoundWhatAllInstancesSend(t *testing.T) {
+func TestSlotsBoundRequestsOfAllInstances(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
 	c.SetInstanceLoad("p", Load{Running: map[string]int{"u": 7, "other": 9}})
-	is.Equal(len(occupy(c)), 3)
+	is.Equal(len(fillUpstreams(c)), 3)
 	c.SetInstanceLoad("p", Load{})
 	is.Equal(len(c.Poll(start).Grants), 1) // the one that was queued
 }
 
-func TestAnUpstreamThatTookOverAnAddressIsAnother(t *testing.T) {
+func TestNewUpstreamAtSameAddressStartsWithFreshState(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "old", Address: "a", Slots: 2}})
-	is.Equal(len(occupy(c)), 2)
+	is.Equal(len(fillUpstreams(c)), 2)
 	c.SetMembers([]Member{{ID: "new", Address: "a", Slots: 2}})
 	is.Equal(c.Upstreams()[0].Running, 0)
 }
 
-func TestPatienceBoundsTheWait(t *testing.T) {
+func TestMaxWaitBoundsTheWait(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 1}})
-	occupy(c)
-	r := ask(0, 3600)
+	fillUpstreams(c)
+	r := newRequest(0, 3600)
 	r.AllowLate = true
 	r.MaxWait = 200 * time.Millisecond
 	is.Equal(len(c.Submit(start, r).Sheds), 0)
@@ -99,14 +100,14 @@
 	is.Equal(d.Sheds[0].Problem.Reason, api.ReasonDeadlineExpired)
 }
 
-// Asking others took longer than the request was to wait. Where there is room it goes at
-// once; where there is none it is given up at once.
-func TestPastItsPatienceARequestGoesAtOnceOrNotAtAll(t *testing.T) {
+// Slot requests to other instances took longer than MaxWait. The request is granted immediately if
+// there is capacity and shed otherwise.
+func TestRequestPastMaxWaitIsGrantedImmediatelyOrShed(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 1}})
 	late := func() *Request {
-		r := ask(0, 3600)
+		r := newRequest(0, 3600)
 		r.AllowLate, r.MaxWait = true, 200*time.Millisecond
 		return r
 	}
@@ -119,11 +120,11 @@
 	is.Equal(c.Submit(now, over).Sheds[0].Problem.Reason, api.ReasonPredictedLate)
 }
 
-func TestAQueuedRequestGoesWhenThereIsRoom(t *testing.T) {
+func TestQueuedRequestsAreGrantedInTierOrder(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	running := occupy(c)
-	low, high := ask(2, 3600), ask(1, 3600)
+	running := fillUpstreams(c)
+	low, high := newRequest(2, 3600), newRequest(1, 3600)
 	is.Equal(len(c.Submit(start, low).Grants), 0)
 	is.Equal(len(c.Submit(start, high).Grants), 0)
 	var order []*Request
@@ -134,159 +135,160 @@
 		}
 	}
 	is.True(len(order) >= 3)
-	is.Equal(order[1], high) // after the one that occupy left waiting
+	is.Equal(order[1], high) // after the one that fillUpstreams left waiting
 	is.Equal(order[2], low)
 }
 
-func TestLateIsRefusedAtOnce(t *testing.T) {
+func TestInfeasibleDeadlineIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	for i := range 10 { // let the upstream be known
+	for i := range 10 { // until the upstream's speed is known
 		now := start.Add(time.Duration(i) * time.Second)
-		g := c.Submit(now, ask(0, 3600)).Grants[0]
+		g := c.Submit(now, newRequest(0, 3600)).Grants[0]
 		c.RecordFirstToken(now.Add(30*time.Millisecond), g)
 		c.RecordCompleted(now.Add(300*time.Millisecond), g, 10)
 	}
-	long := ask(0, 1)
+	long := newRequest(0, 1)
 	long.PromptTokens = 1_000_000
 	d := c.Submit(start, long)
 	is.Equal(d.Sheds[0].Problem.Reason, api.ReasonDeadlineTooShort)
 	is.True(d.Sheds[0].Problem.RetryAfterSeconds > 0)
-	occupy(c)
-	waiting := ask(0, 2)
+	fillUpstreams(c)
+	waiting := newRequest(0, 2)
 	is.Equal(len(c.Submit(start, waiting).Sheds), 0)
 	d = c.Poll(start.Add(2 * time.Second))
 	is.Equal(d.Sheds[0].Request, waiting)
 	is.Equal(d.Sheds[0].Problem.Reason, api.ReasonDeadlineExpired)
 }
 
-// A request that the work ahead would make late is refused when it comes, not when
-// its time is over.
-func TestPredictedLateIsRefusedAtOnce(t *testing.T) {
+// A request that the work ahead would make late is refused on arrival, not when its deadline has
+// passed.
+func TestPredictedLateRequestIsRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1000, "a")
-	running := occupy(c)
+	running := fillUpstreams(c)
 	for range 200 {
-		c.Submit(start, ask(0, 3600))
+		c.Submit(start, newRequest(0, 3600))
 	}
 	now := start
-	for range 40 { // one a 100 ms leaves the queue
+	for range 40 { // one request leaves the queue every 100 ms
 		now = now.Add(100 * time.Millisecond)
 		g := running[0]
 		running = append(running[1:], c.RecordFirstToken(now, g).Grants...)
 		running = append(running, c.RecordCompleted(now, g, 10).Grants...)
 	}
-	short := ask(0, 0)
+	short := newRequest(0, 0)
 	short.Arrived, short.Deadline = now, now.Add(2*time.Second)
 	d := c.Submit(now, short)
 	is.Equal(len(d.Sheds), 1)
 	is.Equal(d.Sheds[0].Request, short)
 	is.Equal(d.Sheds[0].Problem.Reason, api.ReasonPredictedLate)
-	is.True(d.Sheds[0].Problem.RetryAfterSeconds >= 10) // 160 wait, 10 leave a second
-	long := ask(0, 0)
+	is.True(d.Sheds[0].Problem.RetryAfterSeconds >= 10) // 160 wait, 10 leave per second
+	long := newRequest(0, 0)
 	long.Arrived, long.Deadline = now, now.Add(time.Minute)
 	is.Equal(len(c.Submit(now, long).Sheds), 0)
 }
 
-func TestFailingUpstreamIsAvoidedAndTested(t *testing.T) {
+func TestCircuitOpensOnFailureAndIsProbed(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	g := c.Submit(start, ask(0, 3600)).Grants[0]
+	g := c.Submit(start, newRequest(0, 3600)).Grants[0]
 	c.RecordFailure(start, g)
-	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 0)
-	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 0)
-	d := c.Poll(start.Add(avoidFirst))
-	is.Equal(len(d.Grants), 1) // a single request tests it
-	c.RecordFirstToken(start.Add(avoidFirst+time.Millisecond), d.Grants[0])
+	is.Equal(len(c.Submit(start, newRequest(0, 3600)).Grants), 0)
+	is.Equal(len(c.Submit(start, newRequest(0, 3600)).Grants), 0)
+	d := c.Poll(start.Add(minOpenPeriod))
+	is.Equal(len(d.Grants), 1) // a single probe request
+	c.RecordFirstToken(start.Add(minOpenPeriod+time.Millisecond), d.Grants[0])
 	is.Equal(c.upstreams[0].Failures, 0)
 }
 
-// An answer that gets lost says little of an upstream that goes on sending others.
-func TestAnUpstreamThatLivesIsNotAvoidedForOneLostAnswer(t *testing.T) {
+// One lost response is no failure of an upstream that continues to send others.
+func TestLostResponseDoesNotOpenCircuitOfLiveUpstream(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	first := c.Submit(start, ask(0, 3600)).Grants[0]
-	lost := c.Submit(start, ask(0, 3600)).Grants[0]
+	first := c.Submit(start, newRequest(0, 3600)).Grants[0]
+	lost := c.Submit(start, newRequest(0, 3600)).Grants[0]
 	first.Upstream.MarkSeen(start.Add(10 * time.Millisecond))
 	c.RecordLostResponse(start.Add(20*time.Millisecond), lost)
-	is.Equal(len(c.Submit(start.Add(20*time.Millisecond), ask(0, 3600)).Grants), 1)
-	is.True(first.Upstream.FailureShare > 0) // it is remembered all the same
+	is.Equal(len(c.Submit(start.Add(20*time.Millisecond), newRequest(0, 3600)).Grants), 1)
+	is.True(first.Upstream.FailureShare > 0) // the loss still counts
 	silent := start.Add(20*time.Millisecond + aliveFor)
 	c.RecordLostResponse(silent, first)
-	is.Equal(len(c.Submit(silent, ask(0, 3600)).Grants), 0) // nothing else has come
+	is.Equal(len(c.Submit(silent, newRequest(0, 3600)).Grants), 0) // nothing else was received
 }
 
-// An upstream that is avoided and runs requests still is used again as soon as one of
-// them shows that it lives.
-func TestASignOfLifeEndsTheAvoidance(t *testing.T) {
+// An upstream with an open circuit that still runs requests is used again as soon as one of them
+// shows that it is alive.
+func TestActivityClosesOpenCircuit(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
-	running := c.Submit(start, ask(0, 3600)).Grants[0]
-	c.RecordFailure(start, c.Submit(start, ask(0, 3600)).Grants[0])
-	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 0)
+	running := c.Submit(start, newRequest(0, 3600)).Grants[0]
+	c.RecordFailure(start, c.Submit(start, newRequest(0, 3600)).Grants[0])
+	is.Equal(len(c.Submit(start, newRequest(0, 3600)).Grants), 0)
 	running.Upstream.MarkSeen(start.Add(time.Millisecond))
 	is.Equal(len(c.Poll(start.Add(2*time.Millisecond)).Grants), 1)
 }
 
-// Requests that were under way together fail of one cause: the upstream is tested again as
-// soon as after a single failure.
-func TestFailuresOfOneCauseCountOnce(t *testing.T) {
+// Requests that run concurrently fail together. The upstream is probed as soon as after a single
+// failure.
+func TestFailuresWithOneCauseCountOnce(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
 	var running []*Grant
 	for range 10 {
-		running = append(running, c.Submit(start, ask(0, 3600)).Grants[0])
+		running = append(running, c.Submit(start, newRequest(0, 3600)).Grants[0])
 	}
 	cut := start.Add(time.Second)
 	for _, g := range running {
 		c.RecordFailure(cut, g)
 	}
-	is.Equal(len(c.Submit(cut, ask(0, 3600)).Grants), 0)
-	is.Equal(len(c.Poll(cut.Add(avoidFirst)).Grants), 1)
+	is.Equal(len(c.Submit(cut, newRequest(0, 3600)).Grants), 0)
+	is.Equal(len(c.Poll(cut.Add(minOpenPeriod)).Grants), 1)
 }
 
-// However often it failed, an upstream that is back is found within a bound.
-func TestAnUpstreamIsAvoidedForABoundedTime(t *testing.T) {
+// An upstream that has recovered is used again within maxOpenPeriod, however often it failed.
+func TestCircuitOpenPeriodIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
 	now := start
 	for range 20 {
-		c.RecordFailure(now, c.Submit(now, ask(0, 3600)).Grants[0])
-		now = now.Add(avoidMost)
+		c.RecordFailure(now, c.Submit(now, newRequest(0, 3600)).Grants[0])
+		now = now.Add(maxOpenPeriod)
 	}
-	is.Equal(len(c.Submit(now, ask(0, 3600)).Grants), 1)
+	is.Equal(len(c.Submit(now, newRequest(0, 3600)).Grants), 1)
 }
 
-// Once a cut may have healed, an avoided upstream is tested by one request.
-func TestAnAvoidedUpstreamIsTestedOnceACutMayHaveHealed(t *testing.T) {
+// When a network partition may have healed, an upstream with an open circuit gets one probe
+// request.
+func TestOpenCircuitIsProbedWhenPartitionMayHaveHealed(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
-	c.RecordFailure(start, c.Submit(start, ask(0, 3600)).Grants[0])
-	c.Submit(start, ask(0, 3600))
-	c.Submit(start, ask(0, 3600))
+	c.RecordFailure(start, c.Submit(start, newRequest(0, 3600)).Grants[0])
+	c.Submit(start, newRequest(0, 3600))
+	c.Submit(start, newRequest(0, 3600))
 	healed := start.Add(time.Millisecond)
 	d := c.ProbeOpenCircuits(healed)
 	is.Equal(len(d.Grants), 1)
-	is.Equal(len(c.RecordFirstToken(healed, d.Grants[0]).Grants), 1) // it lives
+	is.Equal(len(c.RecordFirstToken(healed, d.Grants[0]).Grants), 1) // it is alive
 }
 
-// A failure that an upstream answers with comes fast and shows that it lives.
-func TestAnAnsweredFailureAvoidsNothing(t *testing.T) {
+// An error response arrives quickly and shows that the upstream is alive.
+func TestErrorResponseDoesNotOpenCircuit(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	c.RecordUpstreamError(start, c.Submit(start, ask(0, 3600)).Grants[0])
-	is.Equal(len(c.Submit(start, ask(0, 3600)).Grants), 1)
+	c.RecordUpstreamError(start, c.Submit(start, newRequest(0, 3600)).Grants[0])
+	is.Equal(len(c.Submit(start, newRequest(0, 3600)).Grants), 1)
 }
 
-func TestCancelledLeavesNothingBehind(t *testing.T) {
+func TestCancelledRequestsLeaveNothingOutstanding(t *testing.T) {
 	is := is.New(t)
 	c := newCore(100, "a")
-	running := occupy(c)
-	r := ask(1, 3600)
+	running := fillUpstreams(c)
+	r := newRequest(1, 3600)
 	c.Submit(start, r)
 	is.True(c.Cancel(r))
 	is.True(!c.Cancel(r))
@@ -298,11 +300,11 @@
 	is.Equal(c.upstreams[0].PendingTokens, 0)
 }
 
-// Whatever comes, a higher tier is never shed for load while a lower one waits,
-// nothing is decided twice, and upstreams end with nothing outstanding.
-func TestShedsTheLowestFirst(t *testing.T) {
+// For random operations: a higher tier is never shed for load while a lower one waits, no request
+// is decided twice, and upstreams end with nothing outstanding.
+func TestLowestTierIsShedFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCore(rapid.IntRange(1, 6).Draw(t, "room"), "a", "b")
+		c := newCore(rapid.IntRange(1, 6).Draw(t, "queue size"), "a", "b")
 		now := start
 		var running []*Grant
 		decided := map[*Request]bool{}
@@ -320,7 +322,7 @@
 				}
 				decided[s.Request] = true
 				if s.Problem.Outcome != api.NotRun || s.Problem.RetryAfterSeconds < 1 {
-					t.Fatalf("shed without a time to come back: %v", s.Problem)
+					t.Fatalf("shed without a retry delay: %v", s.Problem)
 				}
 				if lowest := c.queue.LowestRank(); lowest > s.Request.Rank && s.Problem.Reason != api.ReasonDisplaced && s.Problem.Reason != api.ReasonDeadlineTooShort {
 					t.Fatalf("rank %d was shed with %s while rank %d waits", s.Request.Rank, s.Problem.Reason, lowest)
@@ -331,7 +333,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			switch {
 			case rapid.IntRange(0, 2).Draw(t, "operation") > 0 || len(running) == 0:
-				r := ask(rapid.IntRange(0, 3).Draw(t, "rank"), 0)
+				r := newRequest(rapid.IntRange(0, 3).Draw(t, "rank"), 0)
 				r.Arrived = now
 				r.Deadline = now.Add(time.Duration(rapid.IntRange(500, 5000).Draw(t, "deadline")) * time.Millisecond)
 				check(c.Submit(now, r))
@@ -358,7 +360,7 @@
 		}
 		for _, u := range c.upstreams {
 			if u.Running != 0 || u.PendingTokens != 0 {
-				t.Fatalf("%s is left with %d running, %d pending", u.Address, u.Running, u.PendingTokens)
+				t.Fatalf("%s ends with %d running, %d pending", u.Address, u.Running, u.PendingTokens)
 			}
 		}
 	})
