--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,9 +1,9 @@
 // Package balancer chooses the upstream that a request is sent to.
 //
-// Picker is the interface; Predictive is the one the daemon uses. RoundRobin,
-// LeastOutstanding and PowerOfTwo are the baselines it is measured against.
+// Picker is the interface. ObjectivePicker chooses by latency objectives; Predictive minimises the
+// predicted latency. RoundRobin, LeastOutstanding and PowerOfTwo are baselines for comparison.
 //
-// Nothing here is safe for concurrent use; the scheduler holds its lock.
+// Nothing here is safe for concurrent use unless stated; the scheduler's callers serialise access.
 package balancer
 
 import (
@@ -15,81 +15,81 @@
 	"github.com/tacktally/tacktally/internal/prefix"
 )
 
-// PrefillHorizon is how much unread prompt work, in time, an engine is given at
-// most beside its first request. It bounds what can no longer be reordered.
+// PrefillHorizon is the most outstanding prefill work, as time, that an engine is given in addition
+// to its first request. Requests sent to an engine can no longer be reordered.
 const PrefillHorizon = 250 * time.Millisecond
 
-// Upstream is what one instance knows of one upstream.
+// Upstream is the state of an upstream as one instance sees it.
 type Upstream struct {
-	// ID tells it apart from others that have or had its address.
+	// ID distinguishes the upstream from others that use or used its address.
 	ID string
 	// Address as IP:port.
 	Address string
-	// Zone is its availability zone, and Region the zone's, where it is known.
+	// Zone is its availability zone, and Region that zone's region if known.
 	Zone   string
 	Region string
-	// Incarnation tells its processes apart, where it is known.
+	// Incarnation is the number of its process, if known.
 	Incarnation int64
-	// Speed and Window are learned.
+	// Speed and Window are estimates, updated with each response.
 	Speed  estimate.Speed
 	Window estimate.Window
-	// PrefixIndex holds the prompt prefixes it likely has in its cache.
+	// PrefixIndex tracks the prompt prefixes that its cache likely holds. May be nil.
 	PrefixIndex *prefix.Index
-	// PendingTokens is the prompt tokens sent whose first token hasn't come.
+	// PendingTokens is the number of prompt tokens sent for which the first token has not arrived.
 	PendingTokens int
-	// PendingElsewhere is the same of other instances, as they told last.
+	// PendingElsewhere is the same for all other instances, as last reported.
 	PendingElsewhere int
-	// Running is the requests sent and not ended.
+	// Running is the number of requests sent and not ended.
 	Running int
-	// RunningElsewhere is the same of other instances, as they told last.
+	// RunningElsewhere is the same for all other instances, as last reported.
 	RunningElsewhere int
-	// Slots is how many requests it runs at once for all instances; 0 is unknown,
-	// and the window is learned.
+	// Slots is the number of requests that it runs concurrently for all instances. 0 means unknown;
+	// Window applies instead.
 	Slots int
-	// Leaving upstreams get nothing new.
+	// Leaving upstreams are sent no new requests.
 	Leaving bool
-	// CircuitOpenUntil is set after failures; a single request tests it afterwards.
+	// CircuitOpenUntil is set after failures. After it, a single request probes the upstream.
 	CircuitOpenUntil time.Time
-	// Failures in a row, the last of them at FailedAt.
+	// Failures counts consecutive failures, the last of them at FailedAt.
 	Failures int
 	FailedAt time.Time
-	// FailureShare is the share of its latest requests that failed, smoothed.
+	// FailureShare is the share of recent requests that failed, exponentially smoothed.
 	FailureShare float64
-	// GrantLimits bound how often it is granted requests, and ColdUntil is until when it is believed
-	// to be cold.
+	// GrantLimits bound how often it is granted requests. ColdUntil is the time until which it is
+	// considered cold.
 	GrantLimits GrantLimits
 	ColdUntil   time.Time
-	// AdvertisedLimit is the limit that it has named, and Rate this instance's part of it.
+	// AdvertisedLimit is the limit reported by the upstream itself, RateLimit this instance's share
+	// of it.
 	AdvertisedLimit AdvertisedLimit
 	RateLimit       RateLimit
 
-	tokens     tokens
-	starts     starts
-	movedUntil time.Time // until when Limits.Moved holds
-	heardLock  sync.Mutex
-	heard      time.Time // when it last sent something
+	bucket     tokenBucket
+	grants     grantTimes
+	movedUntil time.Time // GrantLimits.Moved applies until then
+	lastSeenMu sync.Mutex
+	lastSeen   time.Time // guarded by lastSeenMu
 }
 
-// MarkSeen records that the upstream has just sent something. Unlike all else here it may be
-// called by several goroutines.
+// MarkSeen records that the upstream has just sent something. It is safe for concurrent use.
 func (u *Upstream) MarkSeen(now time.Time) {
-	u.heardLock.Lock()
-	defer u.heardLock.Unlock()
-	u.heard = now
+	u.lastSeenMu.Lock()
+	defer u.lastSeenMu.Unlock()
+	u.lastSeen = now
 }
 
-// SeenAfter tells whether the upstream has sent something after a time.
+// SeenAfter reports whether the upstream has sent something after t. It is safe for concurrent use.
 func (u *Upstream) SeenAfter(t time.Time) bool {
-	u.heardLock.Lock()
-	defer u.heardLock.Unlock()
-	return u.heard.After(t)
+	u.lastSeenMu.Lock()
+	defer u.lastSeenMu.Unlock()
+	return u.lastSeen.After(t)
 }
 
-// failureGain is the weight of one request in FailureShare: an upstream that fails half
-// of what it is sent shows within five requests.
+// failureGain is the weight of one request in FailureShare. An upstream that fails half of its
+// requests is detected within five.
 const failureGain = 0.15
 
-// ObserveEnd records whether a request to it failed.
+// ObserveEnd records whether a request failed.
 func (u *Upstream) ObserveEnd(failed bool) {
 	outcome := 0.0
 	if failed {
@@ -98,26 +98,27 @@
 	u.FailureShare += failureGain * (outcome - u.FailureShare)
 }
 
-// isSuspect tells whether it has failed, and nothing has come from it since.
+// isSuspect reports whether the upstream has failed and has sent nothing since.
 func (u *Upstream) isSuspect() bool { return u.Failures > 0 && !u.SeenAfter(u.FailedAt) }
 
-// HasCapacity tells whether it may be sent so many more prompt tokens now.
+// HasCapacity reports whether a request with the given number of uncached prompt tokens may be sent
+// now.
 func (u *Upstream) HasCapacity(now time.Time, tokens int) bool {
 	if !u.Usable(now) || u.IsFull() || !u.AllowsGrant(now) {
 		return false
 	}
 	if u.isSuspect() && u.Running > 0 {
-		return false // one request tests it
+		return false // only one probe at a time
 	}
 	if u.Slots > 0 {
-		return true // its slots bound what it is sent
+		return true // the slots are the only bound
 	}
 	bound := u.Speed.Prefill() * PrefillHorizon.Seconds()
 	ahead := u.TokensAhead()
 	return ahead == 0 || float64(ahead+tokens) <= bound
 }
 
-// IsFull tells whether it runs as many requests as it is to be given.
+// IsFull reports whether all its slots are taken, or its window if the slots are unknown.
 func (u *Upstream) IsFull() bool {
 	if u.Slots > 0 {
 		return u.Running+u.RunningElsewhere >= u.Slots
@@ -125,7 +126,7 @@
 	return u.Running >= u.Window.Size()
 }
 
-// Occupancy is the share of its slots that are taken, 0 where they aren't known.
+// Occupancy returns the share of its slots that is taken; 0 if the slots are unknown.
 func (u *Upstream) Occupancy() float64 {
 	if u.Slots == 0 {
 		return 0
@@ -133,40 +134,41 @@
 	return float64(u.Running+u.RunningElsewhere) / float64(u.Slots)
 }
 
-// TokensAhead returns the prompt tokens, of all instances as far as known, that it has
-// to read before those of a new request.
+// TokensAhead returns the number of prompt tokens, of all instances as far as known, that it
+// prefills before those of a new request.
 func (u *Upstream) TokensAhead() int { return u.PendingTokens + u.PendingElsewhere }
 
-// Usable tells whether it may get work at all.
+// Usable reports whether it may be sent requests: it is not leaving and its circuit is not open.
 func (u *Upstream) Usable(now time.Time) bool {
-	avoided := now.Before(u.CircuitOpenUntil) && !u.SeenAfter(u.FailedAt)
-	return !u.Leaving && !avoided
+	circuitOpen := now.Before(u.CircuitOpenUntil) && !u.SeenAfter(u.FailedAt)
+	return !u.Leaving && !circuitOpen
 }
 
-// Work is what the choice needs to know of a request.
+// Work describes a request to a Picker.
 type Work struct {
-	// PromptTokens and Output are tokens; Output is what is expected, and Limit the most that may come,
-	// 0 where it isn't known.
+	// PromptTokens is the length of the prompt, ExpectedOutput the expected number of output
+	// tokens, and MaxOutput their limit; 0 if unknown.
 	PromptTokens   int
 	ExpectedOutput int
 	MaxOutput      int
-	// Spread is how far the output's length is from what is expected.
+	// Spread is the error of ExpectedOutput.
 	Spread Spread
-	// CompletionProbabilities to end in time over all upstreams, where Pick is given some of them; nil where it is
-	// given all.
+	// CompletionProbabilities covers all upstreams that the request may use. It is set if Pick is
+	// given only some of them, and nil if it is given all.
 	CompletionProbabilities *CompletionProbabilities
-	// PrefixHashes is the prompt's prefix sums.
+	// PrefixHashes are the prompt's prefix hashes (see package prefix).
 	PrefixHashes []uint64
-	// FirstTokenWithin is the time in which the first token is in time, EndIn that in which
-	// the whole answer is; 0 where there is no such bound.
+	// FirstTokenWithin is the time left for the first token, EndWithin the time left for the whole
+	// response; 0 means no bound.
 	FirstTokenWithin time.Duration
 	EndWithin        time.Duration
-	// Zone is the availability zone that the request came to, and Region the zone's, where it is known.
+	// Zone is the availability zone at which the request arrived, and Region that zone's region if
+	// known.
 	Zone   string
 	Region string
 }
 
-// UncachedTokens returns the prompt tokens that the upstream likely has to read.
+// UncachedTokens returns the number of prompt tokens that the upstream likely has to prefill.
 func (w Work) UncachedTokens(u *Upstream) int {
 	if u.PrefixIndex == nil || len(w.PrefixHashes) == 0 {
 		return w.PromptTokens
@@ -174,22 +176,23 @@
 	return max(w.PromptTokens-u.PrefixIndex.Cached(w.PrefixHashes)*prefix.BlockTokens, 1)
 }
 
-// Choice is an upstream and what was assumed of it.
+// Choice is an upstream and the prediction it was chosen on.
 type Choice struct {
 	Upstream *Upstream
-	// UncachedTokens prompt tokens.
+	// UncachedTokens is the number of prompt tokens that the upstream likely has to prefill.
 	UncachedTokens int
 }
 
 // Picker chooses among upstreams.
 type Picker interface {
-	// Pick returns no upstream when none may be used now. It changes nothing.
+	// Pick returns a Choice without an upstream if none may be used now. It does not change any
+	// state.
 	Pick(now time.Time, upstreams []*Upstream, w Work) Choice
-	// RecordSent is called when a choice is followed.
+	// RecordSent records that a request was sent to its choice.
 	RecordSent(u *Upstream, w Work)
 }
 
-// RoundRobin takes the upstreams in turn.
+// RoundRobin picks the upstreams in turn.
 type RoundRobin struct{ next int }
 
 // Pick implements Picker.
@@ -206,7 +209,7 @@
 // RecordSent implements Picker.
 func (p *RoundRobin) RecordSent(*Upstream, Work) { p.next++ }
 
-// LeastOutstanding takes the upstream with the fewest requests sent and not ended.
+// LeastOutstanding picks the upstream with the fewest requests sent and not ended.
 type LeastOutstanding struct{}
 
 // Pick implements Picker.
@@ -226,7 +229,7 @@
 // RecordSent implements Picker.
 func (LeastOutstanding) RecordSent(*Upstream, Work) {}
 
-// PowerOfTwo draws two upstreams and takes the one with fewer requests.
+// PowerOfTwo draws two upstreams at random and picks the one with fewer requests.
 type PowerOfTwo struct{ Random *rand.Rand }
 
 // Pick implements Picker.
--- a/internal/balancer/aimed_test.go
+++ b/internal/balancer/objective_test.go
@@ -9,8 +9,8 @@
 	"github.com/tacktally/tacktally/internal/estimate"
 )
 
-// engine returns an upstream that was seen to read so many prompt tokens a second and
-// to take so long between output tokens.
+// engine returns an upstream that was observed to prefill the given number of prompt tokens per
+// second, with the given interval between output tokens.
 func engine(id string, prefill float64, interval time.Duration, running int) *Upstream {
 	u := &Upstream{ID: id, Zone: "bole", Slots: 10, Running: running, Speed: estimate.NewSpeed()}
 	for range 200 {
@@ -20,19 +20,19 @@
 	return u
 }
 
-func TestAimedChoosesByTheObjective(t *testing.T) {
+func TestObjectivePickerMeetsTheObjective(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
 		fastRunning, slowRunning int
 		work                     Work
 		want                     string
 	}{
-		"a long prompt goes to the engine that reads it in time, however crowded": {
+		"a long prompt goes to the engine that prefills it in time, even if crowded": {
 			9, 0, Work{PromptTokens: 30_000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
-		"a short prompt spares the crowded engine":              {9, 0, Work{PromptTokens: 500, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "slow"},
-		"a full engine gets nothing":                            {10, 9, Work{PromptTokens: 30_000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "slow"},
-		"a long answer goes where it can end before its time":   {3, 0, Work{PromptTokens: 500, ExpectedOutput: 2000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
-		"of two idle ones the one that reads the prompt faster": {0, 0, Work{PromptTokens: 3000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
+		"a short prompt avoids the crowded engine":            {9, 0, Work{PromptTokens: 500, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "slow"},
+		"a full engine gets nothing":                          {10, 9, Work{PromptTokens: 30_000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "slow"},
+		"a long response goes where it can complete in time":  {3, 0, Work{PromptTokens: 500, ExpectedOutput: 2000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
+		"of two idle engines the one with the faster prefill": {0, 0, Work{PromptTokens: 3000, FirstTokenWithin: 800 * time.Millisecond, EndWithin: 15 * second}, "fast"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -44,31 +44,31 @@
 	}
 }
 
-func TestAimedPrefersItsOwnZoneAmongEquals(t *testing.T) {
+func TestObjectivePickerPrefersOwnZone(t *testing.T) {
 	is := is.New(t)
 	p := &ObjectivePicker{CrossZoneCost: 5 * time.Millisecond, Weights: DefaultObjectiveWeights}
 	far := &Upstream{ID: "far", Zone: "bole", Slots: 6}
 	near := &Upstream{ID: "near", Zone: "merkato", Slots: 6}
 	is.Equal(p.Pick(time.Now(), []*Upstream{far, near}, Work{Zone: "merkato"}).Upstream.ID, "near")
-	near.Running = 1 // a slot of six counts more than the distance
+	near.Running = 1 // one slot of six costs more than the other zone
 	is.Equal(p.Pick(time.Now(), []*Upstream{far, near}, Work{Zone: "merkato"}).Upstream.ID, "far")
 }
 
-// An upstream in another region costs a round trip, and is used where the near ones are crowded.
-func TestAimedPrefersItsOwnRegion(t *testing.T) {
+// An upstream in another region costs a round trip. It is used if the near ones are crowded.
+func TestObjectivePickerPrefersOwnRegion(t *testing.T) {
 	is := is.New(t)
 	p := &ObjectivePicker{CrossZoneCost: 5 * time.Millisecond, CrossRegionCost: 30 * time.Millisecond, Weights: DefaultObjectiveWeights}
 	far := &Upstream{ID: "far", Zone: "b", Region: "south", Slots: 20}
 	near := &Upstream{ID: "near", Zone: "c", Region: "north", Slots: 20, Running: 1}
 	work := Work{Zone: "a", Region: "north"}
 	is.Equal(p.Pick(time.Now(), []*Upstream{far, near}, work).Upstream.ID, "near")
-	near.Running = 3 // three of 20 slots count more than the distance
+	near.Running = 3 // three slots of 20 cost more than the other region
 	is.Equal(p.Pick(time.Now(), []*Upstream{far, near}, work).Upstream.ID, "far")
-	near.Running, far.Region = 1, "" // not known
+	near.Running, far.Region = 1, "" // unknown
 	is.Equal(p.Pick(time.Now(), []*Upstream{far, near}, work).Upstream.ID, "far")
 }
 
-func TestAimedSparesAnUpstreamThatFails(t *testing.T) {
+func TestObjectivePickerAvoidsFailingUpstream(t *testing.T) {
 	is := is.New(t)
 	p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
 	grey := &Upstream{ID: "grey", Zone: "bole", Slots: 10}
@@ -81,7 +81,7 @@
 	is.Equal(p.Pick(time.Now(), []*Upstream{grey, sound}, Work{}).Upstream.ID, "sound")
 }
 
-func TestAimedGivesNothingWhereAllAreFull(t *testing.T) {
+func TestObjectivePickerPicksNoFullUpstream(t *testing.T) {
 	is := is.New(t)
 	p := &ObjectivePicker{Weights: DefaultObjectiveWeights}
 	full := &Upstream{ID: "full", Slots: 6, Running: 2, RunningElsewhere: 4}
--- a/internal/balancer/predictive.go
+++ b/internal/balancer/predictive.go
@@ -8,33 +8,31 @@
 )
 
 const (
-	// scanAll is the number of upstreams up to which all are looked at.
-	scanAll = 64
-	// sampled is how many are looked at when there are more.
-	sampled = 32
-	// decodeWeight is what the time to write the answer counts for. A faster
-	// answer is good, but an answer in time on the engine that holds the prompt
-	// saves reading it again.
+	// maxFullScan is the number of upstreams up to which all are considered.
+	maxFullScan = 64
+	// sampleSize is the number considered if there are more.
+	sampleSize = 32
+	// decodeWeight is the weight of the time to generate the response. A fast decode is good, but a
+	// response in time from the engine that has the prompt cached saves a prefill.
 	decodeWeight = 0.3
-	// affinityEntries bounds the memory of who was sent which prefix.
+	// affinityEntries bounds the cache of upstreams by the prefix they were sent.
 	affinityEntries = 8192
 )
 
-// Predictive takes the upstream with the least predicted cost: the time to the
-// first token, a part of the time to write the answer, and again the time it
-// spends on reading the prompt, which others wait for. Only upstreams with room
-// count.
+// Predictive picks the upstream with the lowest predicted cost: the time to the first token, a
+// share of the time to generate the response, and PrefillWeight times the prefill time, for which
+// other requests wait. It considers only upstreams with capacity.
 type Predictive struct {
-	// PrefillWeight is how often the reading of uncached prompt counts beside the
-	// time to the first token. Higher wastes less prefill, lower answers sooner.
+	// PrefillWeight multiplies the prefill time of the uncached prompt, which is added to the time
+	// to the first token. Higher values waste less prefill; lower values respond sooner.
 	PrefillWeight float64
-	// Random draws the sample among many upstreams.
+	// Random draws the sample if there are more than maxFullScan upstreams.
 	Random *rand.Rand
 
 	affinity *simplelru.LRU[uint64, *Upstream]
 }
 
-// NewPredictive returns the daemon's picker.
+// NewPredictive returns a Predictive with the given weight.
 func NewPredictive(prefillWeight float64, random *rand.Rand) *Predictive {
 	lru, err := simplelru.NewLRU[uint64, *Upstream](affinityEntries, nil)
 	if err != nil {
@@ -57,21 +55,21 @@
 			best, bestCost = Choice{Upstream: u, UncachedTokens: uncached}, cost
 		}
 	}
-	p.each(upstreams, w, consider)
+	p.forEachCandidate(upstreams, w, consider)
 	return best
 }
 
 func (p *Predictive) cost(u *Upstream, w Work, uncached int) time.Duration {
 	first := u.Speed.PredictFirstToken(u.TokensAhead() + uncached)
-	reading := time.Duration(float64(u.Speed.PredictFirstToken(uncached)) * p.PrefillWeight)
-	writing := time.Duration(float64(u.Speed.PredictDecode(w.ExpectedOutput, 1)) * decodeWeight)
-	return first + reading + writing
+	prefill := time.Duration(float64(u.Speed.PredictFirstToken(uncached)) * p.PrefillWeight)
+	decode := time.Duration(float64(u.Speed.PredictDecode(w.ExpectedOutput, 1)) * decodeWeight)
+	return first + prefill + decode
 }
 
-// each calls f for the upstreams to look at: all of a few; of many, those that
-// were sent the same prefix and a sample.
-func (p *Predictive) each(upstreams []*Upstream, w Work, f func(*Upstream)) {
-	if len(upstreams) <= scanAll {
+// forEachCandidate calls f for the upstreams to consider: all of them up to maxFullScan, otherwise
+// a sample and those that were sent the same prefix.
+func (p *Predictive) forEachCandidate(upstreams []*Upstream, w Work, f func(*Upstream)) {
+	if len(upstreams) <= maxFullScan {
 		for _, u := range upstreams {
 			f(u)
 		}
@@ -83,14 +81,14 @@
 		}
 	}
 	start := p.Random.IntN(len(upstreams))
-	stride := len(upstreams)/sampled + 1
-	for i := range sampled {
+	stride := len(upstreams)/sampleSize + 1
+	for i := range sampleSize {
 		f(upstreams[(start+i*stride)%len(upstreams)])
 	}
 }
 
-// RecordSent implements Picker. It records who was sent the prefix, at the lengths that
-// each looks up.
+// RecordSent implements Picker. It records the upstream for the prefix, at the lengths that Pick
+// looks up.
 func (p *Predictive) RecordSent(u *Upstream, w Work) {
 	for at := len(w.PrefixHashes); at > 0; at /= 2 {
 		p.affinity.Add(w.PrefixHashes[at-1], u)
--- a/internal/balancer/rate_test.go
+++ b/internal/balancer/rate_limit_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// granted counts what an upstream is granted in so long, where callers always want more.
+// granted counts the requests that an upstream is granted in the given time if callers always want
+// more.
 func granted(u *Upstream, from time.Time, length time.Duration) (n int) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(5 * time.Millisecond) {
 		for u.AllowsGrant(now) {
@@ -18,11 +19,11 @@
 	return n
 }
 
-// Whoever granted before may have granted all there was, so that a new owner begins with nothing.
-func TestALimitBeginsWithNothingSavedUp(t *testing.T) {
+// The previous owner may have used up the limit, so a new owner starts without tokens.
+func TestTokenBucketStartsEmpty(t *testing.T) {
 	for name, c := range map[string]struct {
-		perSecond   float64
-		least, most int // in four seconds
+		perSecond float64
+		min, max  int // in four seconds
 	}{
 		"less than one": {0.2, 0, 1},
 		"a few":         {2, 7, 8},
@@ -36,12 +37,12 @@
 			u.SetRateLimit(RateLimit{Set: true, PerSecond: c.perSecond})
 			is.True(!u.AllowsGrant(now))
 			n := granted(u, now, 4*time.Second)
-			is.True(n >= c.least && n <= c.most)
+			is.True(n >= c.min && n <= c.max)
 		})
 	}
 }
 
-func TestLittleIsSavedUp(t *testing.T) {
+func TestTokenBucketBurstIsSmall(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	u := &Upstream{}
@@ -49,15 +50,16 @@
 	is.True(!u.AllowsGrant(now))
 	n := granted(u, now.Add(time.Hour), 5*time.Millisecond)
 	is.Equal(n, 1)
-	u.SetRateLimit(RateLimit{Set: true, PerSecond: 50}) // a limit that rises
+	u.SetRateLimit(RateLimit{Set: true, PerSecond: 50}) // a raised limit
 	n = granted(u, now.Add(2*time.Hour), time.Second)
 	is.True(n >= 45 && n <= 54)
 	u.SetRateLimit(RateLimit{})
 	is.True(u.AllowsGrant(now.Add(3 * time.Hour)))
 }
 
-// Each of many instances that decide alone has a small part, and hardly any of them has one at the same time.
-func TestWhatIsGrantedByChanceAddsUpToTheLimit(t *testing.T) {
+// Many isolated instances each have a small share of the limit, and few of them may grant at the
+// same time.
+func TestProbabilisticLimitsAddUpToTheLimit(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	total := 0
@@ -67,5 +69,5 @@
 		is.True(!u.AllowsGrant(now))
 		total += granted(u, now.Add(time.Hour), 30*time.Second)
 	}
-	is.True(total >= 20 && total <= 100) // 57 on the average, with a deviation of 8
+	is.True(total >= 20 && total <= 100) // 57 on average, with a standard deviation of 8
 }
