--- a/internal/queue/heap.go
+++ b/internal/queue/heap.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// itemHeap orders items by StartBy (container/heap).
+// itemHeap orders items by StartBy; it implements heap.Interface.
 type itemHeap []*Item
 
 func (h itemHeap) Len() int           { return len(h) }
@@ -32,21 +32,21 @@
 	return it
 }
 
-// usage is an amount that loses half its weight each usageHalfLife.
+// usage is an amount that loses half its weight every usageHalfLife.
 type usage struct {
-	amount float64
-	when   time.Time
+	amount    float64
+	updatedAt time.Time
 }
 
 func (u *usage) at(now time.Time) float64 {
 	if u.amount == 0 {
 		return 0
 	}
-	age := now.Sub(u.when).Seconds()
+	age := now.Sub(u.updatedAt).Seconds()
 	return u.amount * math.Exp2(-age/usageHalfLife.Seconds())
 }
 
 func (u *usage) add(now time.Time, amount float64) {
 	u.amount = u.at(now) + amount
-	u.when = now
+	u.updatedAt = now
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,11 +1,12 @@
-// Package queue holds the work that waits for an upstream of one set.
+// Package queue holds the requests that wait for the upstreams of one set.
 //
-// Order: the tier strictly first; within a tier the organisations that have had
-// no more than their share, by the latest time at which their work can start;
-// then the others. The queue is bounded in count and bytes; when it is full, an
-// item of the lowest tier makes room for one of a higher.
+// Order: tiers strictly by rank; within a tier, organisations within their share (see maxOveruse)
+// first, then the others; within each group by the latest time at which the request can start.
 //
-// Not safe for concurrent use; the scheduler holds its lock.
+// The queue is bounded in items and bytes. When it is full, an item of the lowest tier is displaced
+// by one of a higher tier.
+//
+// A Queue is not safe for concurrent use; the scheduler's callers serialise access.
 package queue
 
 import (
@@ -13,23 +14,23 @@
 	"time"
 )
 
-// Item is one waiting request. Its fields are set before Push and then fixed.
+// Item is one waiting request. Its fields must not change after Push.
 type Item struct {
 	// Rank of the tier; 0 is the most important.
 	Rank int
-	// Organisation that sent it and its weight within the tier.
+	// Organisation that sent the request, and its weight within the tier.
 	Organisation string
 	Share        float64
-	// StartBy is the latest start that lets the answer be in time.
+	// StartBy is the latest start with which the response is in time.
 	StartBy time.Time
-	// Work is its expected cost, in prompt tokens.
+	// Work is the expected cost in prompt tokens.
 	Work float64
-	// Bytes it holds.
+	// Bytes counts towards Limits.MaxBytes.
 	Bytes int
-	// Value is the owner's.
+	// Value belongs to the caller.
 	Value any
 
-	index int // place in its line, -1 when not waiting
+	index int // position in its orgQueue's heap; -1 if not waiting
 }
 
 // Limits bounds a Queue.
@@ -38,67 +39,66 @@
 	MaxBytes int64
 }
 
-// Queue holds waiting items. The zero value isn't usable; see New.
+// Queue holds waiting items. The zero value is not usable; see New.
 type Queue struct {
 	limits Limits
-	levels []*level // by rank, nil where nothing ever waited
+	tiers  []*tierQueue // by rank; nil if nothing was ever pushed
 	items  int
 	bytes  int64
 }
 
-// level is what waits of one tier.
-type level struct {
-	lines map[string]*line
-	// order holds the lines in the order of their first item, so that equal
-	// runs make equal choices.
-	order []*line
+// tierQueue holds the waiting items of one tier.
+type tierQueue struct {
+	orgs map[string]*orgQueue
+	// order lists orgs in the order of their first item, so that identical runs make identical
+	// choices.
+	order []*orgQueue
 	work  float64
 	items int
-	// served is the work taken from all lines, counted down with time.
+	// served is the recent work taken from all orgs.
 	served usage
 }
 
-// line is what waits of one organisation in one tier.
-type line struct {
+// orgQueue holds the waiting items of one organisation in one tier.
+type orgQueue struct {
 	name   string
 	items  itemHeap
 	share  float64
 	served usage
 }
 
-// usageHalfLife is the time in which past service loses half its weight.
+// usageHalfLife is the time in which past usage loses half its weight.
 const usageHalfLife = 5 * time.Second
 
-// overuse is how much more than its share an organisation may have had before
-// others go first.
-const overuse = 1.25
+// maxOveruse is the factor by which an organisation may exceed its share before others go first.
+const maxOveruse = 1.25
 
 // New returns an empty queue.
 func New(limits Limits) *Queue { return &Queue{limits: limits} }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.items }
 
-// LenOfRank returns how many items of a rank wait.
+// LenOfRank returns the number of waiting items of a rank.
 func (q *Queue) LenOfRank(rank int) int {
-	if rank >= len(q.levels) || q.levels[rank] == nil {
+	if rank >= len(q.tiers) || q.tiers[rank] == nil {
 		return 0
 	}
-	return q.levels[rank].items
+	return q.tiers[rank].items
 }
 
-// WorkAhead returns the work that waits in tiers of this rank or more important.
+// WorkAhead returns the total work waiting in tiers of this rank or more important.
 func (q *Queue) WorkAhead(rank int) float64 {
 	total := 0.0
-	for r := 0; r <= rank && r < len(q.levels); r++ {
-		if q.levels[r] != nil {
-			total += q.levels[r].work
+	for r := 0; r <= rank && r < len(q.tiers); r++ {
+		if q.tiers[r] != nil {
+			total += q.tiers[r].work
 		}
 	}
 	return total
 }
 
-// CountAhead returns how many items go before a new one of a rank.
+// CountAhead returns the number of items ahead of a new one of this rank.
 func (q *Queue) CountAhead(rank int) (n int) {
 	for r := range rank + 1 {
 		n += q.LenOfRank(r)
@@ -106,9 +106,9 @@
 	return n
 }
 
-// LowestRank returns the least important rank of which something waits, or -1.
+// LowestRank returns the least important rank with waiting items, or -1.
 func (q *Queue) LowestRank() int {
-	for r := len(q.levels) - 1; r >= 0; r-- {
+	for r := len(q.tiers) - 1; r >= 0; r-- {
 		if q.LenOfRank(r) > 0 {
 			return r
 		}
@@ -116,66 +116,66 @@
 	return -1
 }
 
-// HasSpace tells whether an item of so many bytes fits.
+// HasSpace reports whether an item of the given number of bytes fits.
 func (q *Queue) HasSpace(bytes int) bool {
 	return q.items < q.limits.MaxItems && q.bytes+int64(bytes) <= q.limits.MaxBytes
 }
 
-// Push adds an item, whether there is room or not; see HasRoom.
+// Push adds an item, even if the queue is full; see HasSpace.
 func (q *Queue) Push(it *Item) {
-	for len(q.levels) <= it.Rank {
-		q.levels = append(q.levels, nil)
+	for len(q.tiers) <= it.Rank {
+		q.tiers = append(q.tiers, nil)
 	}
-	lv := q.levels[it.Rank]
-	if lv == nil {
-		lv = &level{lines: map[string]*line{}}
-		q.levels[it.Rank] = lv
+	t := q.tiers[it.Rank]
+	if t == nil {
+		t = &tierQueue{orgs: map[string]*orgQueue{}}
+		q.tiers[it.Rank] = t
 	}
-	ln := lv.lines[it.Organisation]
-	if ln == nil {
-		ln = &line{name: it.Organisation}
-		lv.lines[it.Organisation] = ln
-		lv.order = append(lv.order, ln)
+	org := t.orgs[it.Organisation]
+	if org == nil {
+		org = &orgQueue{name: it.Organisation}
+		t.orgs[it.Organisation] = org
+		t.order = append(t.order, org)
 	}
-	ln.share = it.Share
-	heap.Push(&ln.items, it)
-	lv.work += it.Work
-	lv.items++
+	org.share = it.Share
+	heap.Push(&org.items, it)
+	t.work += it.Work
+	t.items++
 	q.items++
 	q.bytes += int64(it.Bytes)
 }
 
-// WaitingRanks returns the ranks of which something waits, the most important first.
+// WaitingRanks returns the ranks with waiting items, most important first.
 func (q *Queue) WaitingRanks() []int {
 	var out []int
-	for r, lv := range q.levels {
-		if lv != nil && lv.items > 0 {
+	for r, t := range q.tiers {
+		if t != nil && t.items > 0 {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Next returns the item that goes next without removing it, or nil.
+// Next returns the next item in order without removing it, or nil.
 func (q *Queue) Next(now time.Time) *Item {
-	for _, lv := range q.levels {
-		if lv != nil && lv.items > 0 {
-			return lv.next(now)
+	for _, t := range q.tiers {
+		if t != nil && t.items > 0 {
+			return t.next(now)
 		}
 	}
 	return nil
 }
 
-// Peek returns up to n waiting items of a rank: the one that goes next, and others by their
-// latest start, whatever their organisations have had.
+// Peek returns up to n waiting items of a rank: the next in order, then others by StartBy,
+// regardless of their organisations' usage.
 func (q *Queue) Peek(now time.Time, rank, n int) []*Item {
 	if q.LenOfRank(rank) == 0 {
 		return nil
 	}
-	next := q.levels[rank].next(now)
+	next := q.tiers[rank].next(now)
 	out := append(make([]*Item, 0, n), next)
-	for _, ln := range q.levels[rank].order {
-		for _, it := range ln.items[:min(n, len(ln.items))] {
+	for _, org := range q.tiers[rank].order {
+		for _, it := range org.items[:min(n, len(org.items))] {
 			if it != next {
 				out = insertByStart(out, it, n)
 			}
@@ -184,7 +184,7 @@
 	return out
 }
 
-// insertByStart puts an item into its place after the first of at most n.
+// insertByStart inserts an item by StartBy after the first of at most n.
 func insertByStart(list []*Item, it *Item, n int) []*Item {
 	if len(list) == n {
 		if n == 1 || !it.StartBy.Before(list[n-1].StartBy) {
@@ -199,43 +199,44 @@
 	return list
 }
 
-// Take removes a waiting item that is about to be served.
+// Take removes a waiting item that is about to be served, and counts it as usage of its
+// organisation.
 func (q *Queue) Take(now time.Time, it *Item) {
-	lv := q.levels[it.Rank]
-	lv.lines[it.Organisation].served.add(now, it.Work)
-	lv.served.add(now, it.Work)
+	t := q.tiers[it.Rank]
+	t.orgs[it.Organisation].served.add(now, it.Work)
+	t.served.add(now, it.Work)
 	q.Remove(it)
 }
 
-// Remove removes a waiting item that won't be served. It returns false when the
-// item doesn't wait here.
+// Remove removes a waiting item that will not be served. It returns false if the item is not in the
+// queue.
 func (q *Queue) Remove(it *Item) bool {
-	if it.index < 0 || it.Rank >= len(q.levels) || q.levels[it.Rank] == nil {
+	if it.index < 0 || it.Rank >= len(q.tiers) || q.tiers[it.Rank] == nil {
 		return false
 	}
-	lv := q.levels[it.Rank]
-	ln := lv.lines[it.Organisation]
-	if ln == nil || it.index >= len(ln.items) || ln.items[it.index] != it {
+	t := q.tiers[it.Rank]
+	org := t.orgs[it.Organisation]
+	if org == nil || it.index >= len(org.items) || org.items[it.index] != it {
 		return false
 	}
-	heap.Remove(&ln.items, it.index)
-	lv.work -= it.Work
-	lv.items--
+	heap.Remove(&org.items, it.index)
+	t.work -= it.Work
+	t.items--
 	q.items--
 	q.bytes -= int64(it.Bytes)
 	return true
 }
 
-// RemoveExpired removes and returns the items whose latest start has passed.
+// RemoveExpired removes and returns the items whose StartBy has passed.
 func (q *Queue) RemoveExpired(now time.Time) []*Item {
 	var out []*Item
-	for _, lv := range q.levels {
-		if lv == nil || lv.items == 0 {
+	for _, t := range q.tiers {
+		if t == nil || t.items == 0 {
 			continue
 		}
-		for _, ln := range lv.order {
-			for len(ln.items) > 0 && ln.items[0].StartBy.Before(now) {
-				it := ln.items[0]
+		for _, org := range t.order {
+			for len(org.items) > 0 && org.items[0].StartBy.Before(now) {
+				it := org.items[0]
 				q.Remove(it)
 				out = append(out, it)
 			}
@@ -244,32 +245,32 @@
 	return out
 }
 
-// EarliestStartBy returns the earliest latest start of all waiting items.
+// EarliestStartBy returns the earliest StartBy of all waiting items, and false if none wait.
 func (q *Queue) EarliestStartBy() (time.Time, bool) {
 	var earliest time.Time
-	for _, lv := range q.levels {
-		if lv == nil || lv.items == 0 {
+	for _, t := range q.tiers {
+		if t == nil || t.items == 0 {
 			continue
 		}
-		for _, ln := range lv.order {
-			if len(ln.items) > 0 && (earliest.IsZero() || ln.items[0].StartBy.Before(earliest)) {
-				earliest = ln.items[0].StartBy
+		for _, org := range t.order {
+			if len(org.items) > 0 && (earliest.IsZero() || org.items[0].StartBy.Before(earliest)) {
+				earliest = org.items[0].StartBy
 			}
 		}
 	}
 	return earliest, !earliest.IsZero()
 }
 
-// RemoveLower removes and returns every item less important than rank.
+// RemoveLower removes and returns all items less important than rank.
 func (q *Queue) RemoveLower(rank int) []*Item {
 	var out []*Item
-	for r := len(q.levels) - 1; r > rank; r-- {
-		if q.levels[r] == nil {
+	for r := len(q.tiers) - 1; r > rank; r-- {
+		if q.tiers[r] == nil {
 			continue
 		}
-		for _, ln := range q.levels[r].order {
-			for len(ln.items) > 0 {
-				it := ln.items[0]
+		for _, org := range q.tiers[r].order {
+			for len(org.items) > 0 {
+				it := org.items[0]
 				q.Remove(it)
 				out = append(out, it)
 			}
@@ -278,17 +279,16 @@
 	return out
 }
 
-// Displace removes and returns the waiting item that matters least among those
-// less important than rank: of the lowest tier, the one that could start last.
-// It returns nil when none is less important.
+// Displace removes and returns the least important waiting item below rank: in the lowest tier, the
+// one with the latest StartBy. It returns nil if there is none.
 func (q *Queue) Displace(rank int) *Item {
 	lowest := q.LowestRank()
 	if lowest <= rank {
 		return nil
 	}
 	var last *Item
-	for _, ln := range q.levels[lowest].order {
-		for _, it := range ln.items {
+	for _, org := range q.tiers[lowest].order {
+		for _, it := range org.items {
 			if last == nil || it.StartBy.After(last.StartBy) {
 				last = it
 			}
@@ -298,22 +298,22 @@
 	return last
 }
 
-// next picks within a tier: the earliest latest start among organisations within
-// their share, else among all.
-func (lv *level) next(now time.Time) *Item {
-	lv.forgetIdle(now)
+// next returns the item with the earliest StartBy among organisations within their share, or else
+// among all.
+func (t *tierQueue) next(now time.Time) *Item {
+	t.removeIdle(now)
 	shares := 0.0
-	for _, ln := range lv.order {
-		shares += ln.share
+	for _, org := range t.order {
+		shares += org.share
 	}
-	total := lv.served.at(now)
+	total := t.served.at(now)
 	var within, over *Item
-	for _, ln := range lv.order {
-		if len(ln.items) == 0 {
+	for _, org := range t.order {
+		if len(org.items) == 0 {
 			continue
 		}
-		first := ln.items[0]
-		if ln.served.at(now) <= overuse*total*ln.share/shares {
+		first := org.items[0]
+		if org.served.at(now) <= maxOveruse*total*org.share/shares {
 			within = earlier(within, first)
 		} else {
 			over = earlier(over, first)
@@ -325,18 +325,18 @@
 	return over
 }
 
-// forgetIdle drops the lines that are empty and long unserved.
-func (lv *level) forgetIdle(now time.Time) {
-	kept := lv.order[:0]
-	for _, ln := range lv.order {
-		if len(ln.items) == 0 && ln.served.at(now) < 1 {
-			delete(lv.lines, ln.name)
+// removeIdle removes organisations without waiting items and with negligible usage.
+func (t *tierQueue) removeIdle(now time.Time) {
+	kept := t.order[:0]
+	for _, org := range t.order {
+		if len(org.items) == 0 && org.served.at(now) < 1 {
+			delete(t.orgs, org.name)
 			continue
 		}
-		kept = append(kept, ln)
+		kept = append(kept, org)
 	}
-	clear(lv.order[len(kept):])
-	lv.order = kept
+	clear(t.order[len(kept):])
+	t.order = kept
 }
 
 func earlier(a, b *Item) *Item {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -15,7 +15,7 @@
 	return &Item{Rank: rank, Organisation: org, Share: 1, Work: 10, Bytes: 1, StartBy: start.Add(time.Duration(startBy) * time.Second)}
 }
 
-// drainAll takes everything in order and names it.
+// drainAll takes all items in order and returns their names.
 func drainAll(q *Queue) (out []string) {
 	for {
 		it := q.Next(start)
@@ -27,14 +27,14 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	for name, c := range map[string]struct {
 		push []*Item
 		want []string
 	}{
 		"tier first":        {[]*Item{item(1, "a", 1), item(0, "a", 9), item(2, "a", 0)}, []string{"0a9", "1a1", "2a0"}},
 		"then latest start": {[]*Item{item(0, "a", 3), item(0, "a", 1), item(0, "a", 2)}, []string{"0a1", "0a2", "0a3"}},
-		"large one waits its share": {
+		"organisation above its share goes last": {
 			[]*Item{item(0, "a", 1), item(0, "a", 2), item(0, "a", 3), item(0, "a", 4), item(0, "b", 8), item(0, "b", 9)},
 			[]string{"0a1", "0b8", "0a2", "0b9", "0a3", "0a4"},
 		},
@@ -52,10 +52,10 @@
 	}
 }
 
-func TestPeekShowsTheNextAndTheMostUrgent(t *testing.T) {
+func TestPeekReturnsNextAndMostUrgent(t *testing.T) {
 	is := is.New(t)
 	q := New(Limits{MaxItems: 100, MaxBytes: 100})
-	q.Push(item(1, "z", 0)) // a lower tier is not shown
+	q.Push(item(1, "z", 0)) // a lower tier is not returned
 	for _, s := range []int{5, 3, 9, 1, 7} {
 		q.Push(item(0, "a", s))
 		q.Push(item(0, "b", s+1))
@@ -70,7 +70,7 @@
 	is.Equal(len(New(Limits{}).Peek(start, 0, 4)), 0)
 }
 
-func TestRoomIsMadeByTheLeastImportant(t *testing.T) {
+func TestLeastImportantItemIsDisplaced(t *testing.T) {
 	is := is.New(t)
 	q := New(Limits{MaxItems: 3, MaxBytes: 100})
 	keep, drop := item(2, "a", 1), item(2, "b", 5)
@@ -78,13 +78,13 @@
 		q.Push(it)
 	}
 	is.True(!q.HasSpace(1))
-	is.Equal(q.Displace(0), drop) // of the lowest tier, the one that could start last
+	is.Equal(q.Displace(0), drop) // of the lowest tier, the latest StartBy
 	is.Equal(q.Displace(0), keep)
-	is.Equal(q.Displace(1), nil) // nothing is less important
-	is.True(!q.HasSpace(100))    // bytes count too
+	is.Equal(q.Displace(1), nil) // none is less important
+	is.True(!q.HasSpace(100))    // the bytes do not fit
 }
 
-func TestExpiredAreGivenUp(t *testing.T) {
+func TestExpiredItemsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	q := New(Limits{MaxItems: 9, MaxBytes: 100})
 	q.Push(item(0, "a", 5))
@@ -96,9 +96,9 @@
 	is.Equal(at, start.Add(5*time.Second))
 }
 
-// Whatever is pushed, removed and taken, the counts agree, and nothing is taken
-// while something of a higher tier waits.
-func TestQueueKeepsItsCounts(t *testing.T) {
+// For random operations the counts stay consistent, and no item is taken while one of a higher tier
+// waits.
+func TestQueueCountsStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Limits{MaxItems: 1000, MaxBytes: 1000})
 		var waiting []*Item
@@ -126,7 +126,7 @@
 				}
 				it := rapid.SampledFrom(waiting).Draw(t, "removed")
 				if !q.Remove(it) || q.Remove(it) {
-					t.Fatal("an item is removed just once")
+					t.Fatal("an item must be removed exactly once")
 				}
 				waiting = without(waiting, it)
 			}
