--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool drives one scheduler.Core with the clock, for goroutines that wait for
-// their turn.
+// Package pool drives a scheduler.Core with the wall clock and makes it safe for concurrent use.
+// A caller submits a request and waits for the decision.
 package pool
 
 import (
@@ -15,94 +15,96 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// pollInterval is how often a pool with waiting work looks at the clock: for
-// upstreams that are avoided no longer and for work that can't be in time.
+// pollInterval is the interval at which a Pool with waiting requests polls its Core: for circuits
+// whose open period has ended and for requests that can no longer be in time.
 const pollInterval = 20 * time.Millisecond
 
-// timerSlack lets the timer fire after the time at which something expires, not with it.
+// timerSlack delays the timer past an expiry, so that the item has expired when the timer fires.
 const timerSlack = 100 * time.Microsecond
 
-// Options of a Pool.
+// Options configures a Pool.
 type Options struct {
+	// Core must not be used by anything else after New.
 	Core *scheduler.Core
-	// Picker of the core, where its weight is to be changed. May be nil.
+	// Picker of the Core, required by SetPrefillWeight. May be nil.
 	Picker *balancer.Predictive
-	// ShedLowerAtPeers tells the peers that work of a rank is about to be shed for load, and
-	// returns when none within reach holds lower work. May be nil.
+	// ShedLowerAtPeers announces to the peers that requests of a rank are about to be shed for
+	// load. It blocks until no reachable peer holds requests of lower tiers. May be nil.
 	ShedLowerAtPeers func(rank int)
-	// Announce tells the peers at once what is pending. It must not block. May be nil.
+	// Announce immediately sends the peers this instance's pending tokens. It must not block. May
+	// be nil.
 	Announce func()
 }
 
-// Pool drives one scheduler.Core with the clock. Safe for concurrent use.
+// Pool drives a scheduler.Core with the wall clock. It is safe for concurrent use.
 type Pool struct {
-	press    func(rank int)
-	announce func()
-
-	mu      sync.Mutex
-	core    *scheduler.Core
-	picker  *balancer.Predictive
-	timer   *time.Timer
-	pressed pressed
+	shedLowerAtPeers func(rank int)
+	announce         func()
+
+	mu       sync.Mutex
+	core     *scheduler.Core
+	picker   *balancer.Predictive
+	timer    *time.Timer
+	peerShed peerShed
 }
 
-// pressed is the last time that the peers were told of pressure. Done is closed
-// when none within reach holds lower work any more.
-type pressed struct {
+// peerShed is the latest call of ShedLowerAtPeers. done is closed when it has returned.
+type peerShed struct {
 	rank int
 	at   time.Time
 	done chan struct{}
 }
 
-// pressAgain is the age from which on the peers are told again. They hold lower
-// work back for longer than that.
-const pressAgain = 500 * time.Millisecond
+// peerShedLifetime is the time after which a call of ShedLowerAtPeers is repeated. Peers keep
+// lower tiers out of their queues for longer than that.
+const peerShedLifetime = 500 * time.Millisecond
 
-// Decision is what a waiting request is told: one of the two is set.
+// Decision is the decision on a request. Exactly one of the two fields is set.
 type Decision struct {
 	Grant   *scheduler.Grant
 	Problem *api.Problem
 }
 
-// New returns a pool around a core, which nothing else may use any more.
+// New returns a Pool that takes over o.Core.
 func New(o Options) *Pool {
-	p := &Pool{press: o.ShedLowerAtPeers, announce: o.Announce, core: o.Core, picker: o.Picker}
+	p := &Pool{shedLowerAtPeers: o.ShedLowerAtPeers, announce: o.Announce, core: o.Core, picker: o.Picker}
 	p.timer = time.AfterFunc(time.Hour, p.Poll)
 	p.timer.Stop()
 	return p
 }
 
-// PendingRequest is a request that was submitted and is to be decided on.
+// PendingRequest is a submitted request whose decision is outstanding.
 type PendingRequest struct {
-	pool    *Pool
-	request *scheduler.Request
-	turns   chan Decision
+	pool      *Pool
+	request   *scheduler.Request
+	decisions chan Decision
 }
 
-// Submit submits a request. Exactly one call of Decided that returns true, or of Wait, is
-// to follow.
+// Submit submits a request. It must be followed by exactly one call of Wait, or of TryWait that
+// returns true.
 func (p *Pool) Submit(r *scheduler.Request) *PendingRequest {
-	w := &PendingRequest{pool: p, request: r, turns: make(chan Decision, 1)}
-	r.Value = w.turns
+	w := &PendingRequest{pool: p, request: r, decisions: make(chan Decision, 1)}
+	r.Value = w.decisions
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.Submit(now, r) })
 	return w
 }
 
-// TryWait returns the decision if there is one already. It doesn't block.
+// TryWait returns the decision if there is one. It does not block.
 func (w *PendingRequest) TryWait() (Decision, bool) {
 	select {
-	case t := <-w.turns:
-		return t, true
+	case d := <-w.decisions:
+		return d, true
 	default:
 		return Decision{}, false
 	}
 }
 
-// Wait blocks until the request may be sent, is shed, or ctx ends.
+// Wait blocks until the request is granted or shed, or ctx ends. If ctx ends, a grant made at the
+// same moment is cancelled.
 func (w *PendingRequest) Wait(ctx context.Context) Decision {
 	select {
-	case t := <-w.turns:
-		return t
+	case d := <-w.decisions:
+		return d
 	case <-ctx.Done():
 	}
 	p := w.pool
@@ -112,26 +114,26 @@
 	if cancelled {
 		return Decision{Problem: WaitEndedProblem(ctx)}
 	}
-	t := <-w.turns // it was decided at the same moment
-	if t.Grant != nil {
-		p.End(t.Grant, scheduler.Cancelled, 0)
+	d := <-w.decisions // it was decided concurrently
+	if d.Grant != nil {
+		p.End(d.Grant, scheduler.Cancelled, 0)
 		return Decision{Problem: WaitEndedProblem(ctx)}
 	}
-	return t
+	return d
 }
 
-// Acquire blocks until the request may be sent, is shed, or ctx ends.
+// Acquire submits a request and blocks until it is granted or shed, or ctx ends.
 func (p *Pool) Acquire(ctx context.Context, r *scheduler.Request) (*scheduler.Grant, *api.Problem) {
-	t := p.Submit(r).Wait(ctx)
-	return t.Grant, t.Problem
+	d := p.Submit(r).Wait(ctx)
+	return d.Grant, d.Problem
 }
 
-// End records how a granted request ended.
-func (p *Pool) End(g *scheduler.Grant, e scheduler.Result, output int) {
-	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.End(now, g, e, output) })
+// End records the result of a granted request, and the output tokens of a complete response.
+func (p *Pool) End(g *scheduler.Grant, r scheduler.Result, output int) {
+	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.End(now, g, r, output) })
 }
 
-// WaitEndedProblem words the end of a context while a request waited.
+// WaitEndedProblem returns the problem for a request whose context ended while it waited.
 func WaitEndedProblem(ctx context.Context) *api.Problem {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return api.Refuse(api.ReasonDeadlineExpired, "the deadline passed while the request waited; come back later or allow more time").WithRetryAfter(time.Second)
@@ -139,7 +141,8 @@
 	return api.Refuse(api.ReasonCallerGone, "the caller closed the connection while the request waited")
 }
 
-// Apply runs one step of the core under the lock and carries out what it decided.
+// Apply runs step with the Core under the lock and carries out its decisions. If it granted a
+// request with a long prefill, the peers are informed.
 func (p *Pool) Apply(step func(now time.Time, core *scheduler.Core) scheduler.Decisions) {
 	p.mu.Lock()
 	d := step(time.Now(), p.core)
@@ -152,7 +155,7 @@
 	}
 }
 
-// RecordFirstToken records a first token, and tells the peers when a long prompt was read.
+// RecordFirstToken records a first token. If the prefill was long, the peers are informed.
 func (p *Pool) RecordFirstToken(g *scheduler.Grant) {
 	long := false
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
@@ -164,7 +167,7 @@
 	}
 }
 
-// schedule sets the timer while work waits. The caller holds the lock.
+// schedule sets the timer if requests wait, and stops it otherwise. The caller holds the lock.
 func (p *Pool) schedule() {
 	expiry, waiting := p.core.NextExpiry()
 	if !waiting {
@@ -174,7 +177,8 @@
 	p.timer.Reset(min(pollInterval, max(time.Until(expiry), 0)+timerSlack))
 }
 
-// Poll gives up what can no longer be in time and sends what has room.
+// Poll sheds waiting requests that can no longer be in time, and grants those for which there is
+// capacity.
 func (p *Pool) Poll() {
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.Poll(now) })
 }
@@ -184,82 +188,84 @@
 		g.Request.Value.(chan Decision) <- Decision{Grant: g}
 	}
 	for _, s := range d.Sheds {
-		tell := func() { s.Request.Value.(chan Decision) <- Decision{Problem: s.Problem} }
-		if p.press == nil || !shedForLoad(s.Problem.Reason) {
-			tell()
+		send := func() { s.Request.Value.(chan Decision) <- Decision{Problem: s.Problem} }
+		if p.shedLowerAtPeers == nil || !isShedForLoad(s.Problem.Reason) {
+			send()
 			continue
 		}
-		go func() { // lower work that waits at peers goes first
-			<-p.relieved(s.Request.Rank)
-			tell()
+		go func() { // lower tiers that wait at peers are shed first
+			<-p.lowerTiersShed(s.Request.Rank)
+			send()
 		}()
 	}
 }
 
-// relieved returns a channel that is closed when no peer within reach holds work
-// lower than a rank. The peers are told unless they hold it back already.
-func (p *Pool) relieved(rank int) <-chan struct{} {
+// lowerTiersShed returns a channel that is closed when no reachable peer holds requests of tiers
+// below rank. It calls ShedLowerAtPeers unless a recent call covers the rank.
+func (p *Pool) lowerTiersShed(rank int) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pressed.done != nil && p.pressed.rank <= rank && time.Since(p.pressed.at) < pressAgain {
-		return p.pressed.done
+	if p.peerShed.done != nil && p.peerShed.rank <= rank && time.Since(p.peerShed.at) < peerShedLifetime {
+		return p.peerShed.done
 	}
 	done := make(chan struct{})
-	p.pressed = pressed{rank: rank, at: time.Now(), done: done}
+	p.peerShed = peerShed{rank: rank, at: time.Now(), done: done}
 	go func() {
-		p.press(rank)
+		p.shedLowerAtPeers(rank)
 		close(done)
 	}()
 	return done
 }
 
-func shedForLoad(r api.Reason) bool {
+func isShedForLoad(r api.Reason) bool {
 	return r == api.ReasonQueueFull || r == api.ReasonPredictedLate || r == api.ReasonDeadlineExpired
 }
 
-// View calls f with the core under the lock. F must not change what waits.
+// View calls f with the Core under the lock. f must not change which requests wait.
 func (p *Pool) View(f func(core *scheduler.Core)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.core)
 }
 
-// SetMembers replaces the upstreams.
+// SetMembers replaces the list of upstreams.
 func (p *Pool) SetMembers(members []scheduler.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.SetMembers(members)
 }
 
-// UpdateMembers takes upstreams that are new or have changed, and the IDs of those that have left the list.
-func (p *Pool) UpdateMembers(changed []scheduler.Member, gone []string) {
+// UpdateMembers applies changes to the list of upstreams: members that are new or changed, and the
+// IDs of those removed.
+func (p *Pool) UpdateMembers(changed []scheduler.Member, removed []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.UpdateMembers(changed, gone)
+	p.core.UpdateMembers(changed, removed)
 }
 
-// AdoptRates takes what another instance has learned of an upstream's speed.
+// AdoptRates applies speed estimates of an upstream that another instance has learned.
 func (p *Pool) AdoptRates(id string, r estimate.Rates) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.AdoptRates(id, r)
 }
 
-// MarkLeaving stops new work to an upstream.
-func (p *Pool) MarkLeaving(address string) {
+// MarkLeaving stops new grants to an upstream.
+func (p *Pool) MarkLeaving(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.MarkLeaving(address)
+	p.core.MarkLeaving(id)
 }
 
-// LowestRank returns the least important rank that waits, or -1.
+// LowestRank returns the least important rank with waiting requests, or -1.
 func (p *Pool) LowestRank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.LowestRank()
 }
 
-// Displace gives up one waiting request of a lower tier than rank.
+// Displace sheds the least important waiting request of a tier below rank. It reports whether there
+// was one.
 func (p *Pool) Displace(rank int) (displaced bool) {
 	p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 		d := core.Displace(now, rank)
@@ -269,28 +275,28 @@
 	return displaced
 }
 
-// AddPending adds the prompt tokens sent to upstreams and not read yet.
+// AddPending copies the prompt tokens sent and not yet prefilled into the map, by upstream ID.
 func (p *Pool) AddPending(to map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.Copy(to, p.core.Pending())
 }
 
-// SetPrefillWeight sets how much the choice minds reading a prompt again.
+// SetPrefillWeight sets the picker's weight of prefill time. Options.Picker must be set.
 func (p *Pool) SetPrefillWeight(w float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.picker.PrefillWeight = w
 }
 
-// Queued returns how many requests of each rank wait.
+// Queued returns the number of waiting requests of each rank below ranks.
 func (p *Pool) Queued(ranks int) []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Queued(ranks)
 }
 
-// UpstreamStatus is what an instance knows of an upstream, for operators.
+// UpstreamStatus is the state of an upstream as reported to operators.
 type UpstreamStatus struct {
 	Address          string    `json:"address"`
 	Zone             string    `json:"zone"`
@@ -303,7 +309,7 @@
 	CircuitOpenUntil time.Time `json:"avoidedUntil,omitzero"`
 }
 
-// Status returns what is known of the upstreams.
+// Status returns the state of all upstreams.
 func (p *Pool) Status() []UpstreamStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
