--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A speed comes near the truth within 12 observations, from either side, and
-// follows a slow-down within 20.
-func TestSpeedLearns(t *testing.T) {
+// The estimate converges to the true rate within 12 observations, from above and from below, and
+// follows a slowdown within 20.
+func TestSpeedConverges(t *testing.T) {
 	for name, truth := range map[string]float64{"fast": 40_000, "slow": 500} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -25,12 +25,12 @@
 			observe(truth/3, 20)
 			is.True(near(truth / 3))
 			first, _ := s.PredictIdle(2000, 0)
-			is.True(first < 2*time.Duration(2000/truth*float64(time.Second))+50*time.Millisecond) // the best is kept
+			is.True(first < 2*time.Duration(2000/truth*float64(time.Second))+50*time.Millisecond) // from the best estimate
 		})
 	}
 }
 
-func TestUnknownUpstreamIsExpectedToBeFast(t *testing.T) {
+func TestUnobservedUpstreamIsAssumedFast(t *testing.T) {
 	is := is.New(t)
 	s := NewSpeed()
 	first, whole := s.PredictIdle(1_000_000, 1000)
@@ -38,13 +38,13 @@
 	is.True(!s.Known())
 }
 
-func TestWindow(t *testing.T) {
+func TestWindowIncreasesAdditivelyAndDecreasesMultiplicatively(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	w := NewWindow()
 	before := w.Size()
 	for range 40 {
-		w.RecordOnTime(0) // the window wasn't what bound it
+		w.RecordOnTime(0) // the window was not the bound
 	}
 	is.Equal(w.Size(), before)
 	for range 40 {
@@ -53,7 +53,7 @@
 	is.True(w.Size() > before)
 	grown := w.Size()
 	w.RecordLate(now)
-	w.RecordLate(now.Add(time.Millisecond)) // the same excess
+	w.RecordLate(now.Add(time.Millisecond)) // the same overload
 	is.True(w.Size() < grown && w.Size() >= int(decrease*float64(grown)))
 	for i := range 100 {
 		w.RecordLate(now.Add(time.Duration(i) * time.Second))
@@ -61,8 +61,9 @@
 	is.Equal(w.Size(), minWindow)
 }
 
-// What another instance has learned takes the place of what is assumed, and of nothing else.
-func TestLearnedRatesAreHandedOver(t *testing.T) {
+// Estimates of another instance replace assumed values; rates that were not observed there change
+// nothing.
+func TestAdoptReplacesOnlyObservedRates(t *testing.T) {
 	is := is.New(t)
 	there, here := NewSpeed(), NewSpeed()
 	is.Equal(there.Rates(), Rates{}) // nothing was observed
@@ -75,8 +76,9 @@
 	is.Equal(here.Rates(), there.Rates())
 }
 
-// The first whole answer tells the pace: what is assumed before is ten times too slow for a fast engine.
-func TestTheFirstAnswerTellsThePace(t *testing.T) {
+// The first complete response sets the interval: the assumed one is ten times too slow for a fast
+// engine.
+func TestFirstIntervalReplacesAssumption(t *testing.T) {
 	is := is.New(t)
 	s := NewSpeed()
 	s.ObserveInterval(3 * time.Millisecond)
