--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,10 +1,9 @@
-// Package prefix remembers which prompt prefixes an engine has likely in its
-// cache.
+// Package prefix tracks which prompt prefixes an engine likely holds in its cache.
 //
-// A prompt is cut into blocks of BlockBytes; Chain sums each block together with
-// all before it, so that two prompts share sums exactly as far as they share
-// their beginning. Memory is a bounded, least-recently-used set of sums for one
-// engine. It holds hints: engines evict on their own and tell it late.
+// A prompt is split into blocks of BlockBytes. Each block gets a hash of the prompt up to its end,
+// so that two prompts share hashes exactly as far as they share their beginning. Index is a bounded
+// LRU set of the hashes for one engine. Its contents are hints: engines evict on their own and
+// report it late.
 package prefix
 
 import (
@@ -19,72 +18,74 @@
 	BytesPerToken = 4
 	// BlockTokens is the size of a block in tokens.
 	BlockTokens = BlockBytes / BytesPerToken
-	// maxBlocks bounds a chain, for the hundredfold prompt.
+	// maxBlocks bounds the number of hashes of one prompt, since a prompt may be a hundred times as
+	// long as usual.
 	maxBlocks = 1024
 )
 
-// Hashes returns one sum for each whole block of the prompt.
+// Hashes returns one prefix hash for each whole block of the prompt.
 func Hashes(prompt []byte) []uint64 {
 	n := min(len(prompt)/BlockBytes, maxBlocks)
-	sums := make([]uint64, 0, n)
+	hashes := make([]uint64, 0, n)
 	d := xxhash.New()
 	for i := range n {
 		_, _ = d.Write(prompt[i*BlockBytes : (i+1)*BlockBytes])
-		sums = append(sums, d.Sum64())
+		hashes = append(hashes, d.Sum64())
 	}
-	return sums
+	return hashes
 }
 
-// Segment is a piece of a prompt that other prompts may begin with too, where a caller gives
-// sums in place of the text.
+// Segment is a part of a prompt that other prompts may also begin with. Callers send segments with
+// hashes instead of the text.
 type Segment struct {
-	// Hash names its text and all before it.
+	// Hash identifies the segment's text and all text before it.
 	Hash uint64
-	// Tokens is its length.
+	// Tokens is the length of the segment.
 	Tokens int
 }
 
-// SegmentHashes returns one sum for each whole block of a prompt that is given by its parts, in order.
-func SegmentHashes(parts []Segment) []uint64 {
-	var out []uint64
+// SegmentHashes returns one prefix hash for each whole block of a prompt given by its segments, in
+// order.
+func SegmentHashes(segments []Segment) []uint64 {
+	var hashes []uint64
 	tokens := 0
-	for _, p := range parts {
-		tokens += p.Tokens
-		for len(out) < tokens/BlockTokens {
-			out = append(out, p.Hash+uint64(len(out)))
+	for _, s := range segments {
+		tokens += s.Tokens
+		for len(hashes) < tokens/BlockTokens {
+			hashes = append(hashes, s.Hash+uint64(len(hashes)))
 		}
 	}
-	return out
+	return hashes
 }
 
-// Index is what one engine likely holds. Not safe for concurrent use.
+// Index is the set of blocks that one engine likely holds. It is not safe for concurrent use.
 type Index struct {
 	blocks *simplelru.LRU[uint64, struct{}]
 }
 
-// NewIndex returns a memory of at most so many blocks.
+// NewIndex returns an Index of at most the given number of blocks.
 func NewIndex(blocks int) *Index { return NewIndexOnEvict(blocks, nil) }
 
-// NewIndexOnEvict returns a memory that calls dropped for each block that it
-// gives up; the stand-in engines publish their cache events from it.
-func NewIndexOnEvict(blocks int, dropped func(block uint64)) *Index {
-	var onDrop simplelru.EvictCallback[uint64, struct{}]
-	if dropped != nil {
-		onDrop = func(block uint64, _ struct{}) { dropped(block) }
+// NewIndexOnEvict returns an Index that calls evicted for each block that leaves it, including by
+// Drop and Clear. The fake engines publish their cache events from it.
+func NewIndexOnEvict(blocks int, evicted func(block uint64)) *Index {
+	var onEvict simplelru.EvictCallback[uint64, struct{}]
+	if evicted != nil {
+		onEvict = func(block uint64, _ struct{}) { evicted(block) }
 	}
-	lru, err := simplelru.NewLRU(max(blocks, 1), onDrop)
+	lru, err := simplelru.NewLRU(max(blocks, 1), onEvict)
 	if err != nil {
 		panic("prefix: a positive size always makes a cache: " + err.Error())
 	}
 	return &Index{blocks: lru}
 }
 
-// Cached returns how many leading blocks of the chain the engine likely holds.
-func (m *Index) Cached(chain []uint64) int {
-	low, high := 0, len(chain)
+// Cached returns the number of leading blocks that the engine likely holds.
+func (x *Index) Cached(hashes []uint64) int {
+	low, high := 0, len(hashes)
 	for low < high {
 		mid := (low + high + 1) / 2
-		if m.blocks.Contains(chain[mid-1]) {
+		if x.blocks.Contains(hashes[mid-1]) {
 			low = mid
 		} else {
 			high = mid - 1
@@ -93,20 +94,20 @@
 	return low
 }
 
-// Add records that the engine has read the prompt of the chain. The beginning
-// is made the most recent, since engines too evict the ends of prompts first.
-func (m *Index) Add(chain []uint64) {
-	for i := len(chain) - 1; i >= 0; i-- {
-		m.blocks.Add(chain[i], struct{}{})
+// Add records that the engine has prefilled the prompt. The beginning of the prompt becomes the
+// most recently used, since engines also evict the ends of prompts first.
+func (x *Index) Add(hashes []uint64) {
+	for i := len(hashes) - 1; i >= 0; i-- {
+		x.blocks.Add(hashes[i], struct{}{})
 	}
 }
 
 // Drop records that the engine has evicted the blocks.
-func (m *Index) Drop(blocks []uint64) {
+func (x *Index) Drop(blocks []uint64) {
 	for _, b := range blocks {
-		m.blocks.Remove(b)
+		x.blocks.Remove(b)
 	}
 }
 
-// Clear forgets all, after the engine's restart.
-func (m *Index) Clear() { m.blocks.Purge() }
+// Clear removes all blocks, after a restart of the engine.
+func (x *Index) Clear() { x.blocks.Purge() }
