--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,9 +1,9 @@
-// Package history records what concurrent runs did, and checks it against the
-// promises.
+// Package history records the attempts and dispatches of concurrent test runs and checks them
+// against the guarantees given to callers.
 //
-// A run records each request's attempts and answers, and each dispatch that the
-// stand-ins saw. Check applies the predicates; Linearizable reads the same
-// history as that of a register that holds for each key whether it ran.
+// A run records each attempt with its response and each dispatch that the fake upstreams received.
+// Check applies the guarantees one by one. Linearizable checks the same history against the model
+// of a register that holds for each key whether the request ran.
 package history
 
 import (
@@ -16,51 +16,51 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// Attempt is what a caller was told of one attempt.
+// Attempt is one attempt of a caller and its result.
 type Attempt struct {
-	// Key that the request was sent under; it names the request.
+	// Key under which the request was sent; it identifies the request.
 	Key string
 	// Caller that sent it.
 	Caller int
-	// Outcome told; empty when the caller got no answer.
+	// Outcome reported to the caller; empty if the caller received no response.
 	Outcome api.Outcome
-	// Reason told with it, for the reader of a violation.
+	// Reason reported with the outcome, for the description of a violation.
 	Reason api.Reason
-	// Body of the answer when the outcome is answered.
+	// Body of the response if the outcome is answered.
 	Body string
-	// Sent and Received are when the attempt began and its answer came.
+	// Sent is when the attempt began, Received when its response arrived.
 	Sent, Received time.Time
 }
 
-// Dispatch is one run of a request at an upstream.
+// Dispatch is one execution of a request at an upstream.
 type Dispatch struct {
 	Key string
 	At  time.Time
 }
 
-// Recorder collects a history. Safe for concurrent use.
+// Recorder collects a history. It is safe for concurrent use.
 type Recorder struct {
 	mu         sync.Mutex
-	answers    []Attempt
+	attempts   []Attempt
 	dispatches []Dispatch
-	want       map[string]string
+	expected   map[string]string
 }
 
-// NewRecorder returns an empty history.
-func NewRecorder() *Recorder { return &Recorder{want: map[string]string{}} }
+// NewRecorder returns a Recorder with an empty history.
+func NewRecorder() *Recorder { return &Recorder{expected: map[string]string{}} }
 
-// ExpectBody notes the only right body of an answer under a key.
+// ExpectBody sets the only correct response body for a key.
 func (r *Recorder) ExpectBody(key, body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.want[key] = body
+	r.expected[key] = body
 }
 
-// RecordAttempt records an answer.
+// RecordAttempt records an attempt.
 func (r *Recorder) RecordAttempt(a Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answers = append(r.answers, a)
+	r.attempts = append(r.attempts, a)
 }
 
 // RecordDispatch records a dispatch.
@@ -70,39 +70,38 @@
 	r.dispatches = append(r.dispatches, d)
 }
 
-// Summary words how many dispatches and answers of each outcome there are, so that
-// a reader sees what a run was about.
+// Summary returns the number of dispatches and of responses by outcome as text.
 func (r *Recorder) Summary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := map[api.Outcome]int{}
-	for _, a := range r.answers {
+	for _, a := range r.attempts {
 		count[a.Outcome]++
 	}
-	return fmt.Sprintf("%d dispatches; answers: %d answered, %d not-run, %d unknown",
+	return fmt.Sprintf("%d dispatches; responses: %d answered, %d not-run, %d unknown",
 		len(r.dispatches), count[api.Answered], count[api.NotRun], count[api.Unknown])
 }
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	Guarantee string
 	Key       string
 	Detail    string
 }
 
-// String words a violation.
+// String returns the violation as one line of text.
 func (v Violation) String() string { return v.Guarantee + ": " + v.Key + ": " + v.Detail }
 
-// The promises that Check reads.
+// The guarantees that Check applies.
 const (
 	AtMostOnce     = "a request runs at most once"
-	NotRunNeverRan = "a request called not-run did not run"
-	OwnResponse    = "a caller gets the whole answer to its own request"
-	SameResponse   = "repeats get one answer"
+	NotRunNeverRan = "a request reported as not-run did not run"
+	OwnResponse    = "a caller gets the complete response to its own request"
+	SameResponse   = "all attempts of a request get the same response"
 	AnsweredRan    = "an answered request ran"
 )
 
-// Check returns every violation of the promises.
+// Check returns all violations of the guarantees.
 func (r *Recorder) Check() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,28 +116,28 @@
 		}
 	}
 	bodies := map[string]string{}
-	for _, a := range r.answers {
-		out = append(out, r.checkAnswer(a, ran[a.Key], bodies)...)
+	for _, a := range r.attempts {
+		out = append(out, r.checkAttempt(a, ran[a.Key], bodies)...)
 	}
 	return out
 }
 
-func (r *Recorder) checkAnswer(a Attempt, ran int, bodies map[string]string) []Violation {
+func (r *Recorder) checkAttempt(a Attempt, ran int, bodies map[string]string) []Violation {
 	var out []Violation
 	switch a.Outcome {
 	case api.NotRun:
 		if ran > 0 {
-			out = append(out, Violation{NotRunNeverRan, a.Key, fmt.Sprintf("caller %d was told not-run (%s)", a.Caller, a.Reason)})
+			out = append(out, Violation{NotRunNeverRan, a.Key, fmt.Sprintf("caller %d received not-run (%s)", a.Caller, a.Reason)})
 		}
 	case api.Answered:
 		if ran == 0 {
-			out = append(out, Violation{AnsweredRan, a.Key, fmt.Sprintf("caller %d got %q", a.Caller, a.Body)})
+			out = append(out, Violation{AnsweredRan, a.Key, fmt.Sprintf("caller %d received %q", a.Caller, a.Body)})
 		}
-		if want, ok := r.want[a.Key]; ok && a.Body != want {
-			out = append(out, Violation{OwnResponse, a.Key, fmt.Sprintf("caller %d got %q instead of %q", a.Caller, a.Body, want)})
+		if want, ok := r.expected[a.Key]; ok && a.Body != want {
+			out = append(out, Violation{OwnResponse, a.Key, fmt.Sprintf("caller %d received %q instead of %q", a.Caller, a.Body, want)})
 		}
-		if before, ok := bodies[a.Key]; ok && before != a.Body {
-			out = append(out, Violation{SameResponse, a.Key, fmt.Sprintf("%q and %q", before, a.Body)})
+		if previous, ok := bodies[a.Key]; ok && previous != a.Body {
+			out = append(out, Violation{SameResponse, a.Key, fmt.Sprintf("%q and %q", previous, a.Body)})
 		}
 		bodies[a.Key] = a.Body
 	}
@@ -153,15 +152,15 @@
 
 type output struct{ outcome api.Outcome }
 
-// state of one key: whether it ran, and whether it was declared not to run.
+// state of one key: whether it ran, and whether it was reported as not-run.
 type state struct {
 	ran    bool
 	voided bool
 }
 
-// Linearizable tells whether the history is one of a register that takes each
-// key at most once: a dispatch needs a key that neither ran nor was voided; an
-// answered attempt needs one that ran; a not-run voids one that didn't.
+// Linearizable reports whether the history is one of a register that accepts each key at most once.
+// A dispatch requires a key that neither ran nor was voided; an answered attempt requires a key
+// that ran; a not-run attempt voids a key that did not run.
 func (r *Recorder) Linearizable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +173,7 @@
 	for _, d := range r.dispatches {
 		add(input{d.Key, true}, output{}, d.At, d.At)
 	}
-	for _, a := range r.answers {
+	for _, a := range r.attempts {
 		if a.Outcome == api.Answered || a.Outcome == api.NotRun {
 			add(input{key: a.Key}, output{a.Outcome}, a.Sent, a.Received)
 		}
