--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,11 +1,12 @@
-// Package quarantine tells requests that crash the upstreams that run them from those that only ran
-// beside one, and keeps the former from upstreams for a while.
+// Package quarantine identifies requests that crash the upstreams that run them, and keeps them
+// from upstreams for a while.
 //
-// Evidence is crashes: which requests were at an upstream's process when it ended, told apart by what
-// they ask for (Key). A request is held to be the cause once it was there at several crashes that
-// nothing else explains as well. One that has been answered anywhere is none, and a crash that has its
-// cause speaks against nobody else.
+// The evidence is crashes: which requests were at an upstream's process when it terminated,
+// identified by their content (Key). A request is believed to be the cause if it was at several
+// crashes that no other request explains as well. A request that was answered by any upstream is
+// not a cause, and a crash with a known cause is no evidence against other requests.
 //
-// A Book is one instance's evidence. Instances tell each other (News); what they tell is merged
-// without order, so that all come to the same belief whoever saw what, and none has to be asked.
+// A Registry holds one instance's evidence. Instances send each other an Update; merging is
+// independent of the order of updates, so that all instances reach the same verdicts without
+// querying each other, whichever of them saw the crashes.
 package quarantine
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -7,18 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a request by what it asks for, whoever takes it and however often it comes. Requests
-// with one key are the same request to an upstream.
+// Key identifies a request by its content, whichever instance receives it and however often.
+// Requests with the same key are the same request to an upstream.
 type Key struct {
-	// Organisation that asks; empty on public routes. It is kept beside the digest, so that no
-	// organisation's requests are taken for another's, even by a collision that was sought.
+	// Organisation that sent the request; empty on public routes. It isn't part of the digest, so
+	// that the requests of two organisations never share a key, even by a deliberate hash
+	// collision.
 	Organisation string `cbor:"1,keyasint,omitempty"`
-	// Digest of method, host, target and body.
+	// Digest is a hash of method, host, target and body.
 	Digest uint64 `cbor:"2,keyasint"`
 }
 
-// KeyOf returns the key of a request. IDs, deadlines and other headers aren't part of it: they differ
-// from one try to the next. Each field is preceded by its length, so that none runs into the next.
+// KeyOf returns the key of a request. IDs, deadlines and other headers are left out, since they
+// differ between retries. Each field is preceded by its length, so that field boundaries count.
 func KeyOf(organisation, method, host, target string, body []byte) Key {
 	d := xxhash.New()
 	var length [8]byte
--- /dev/null
+++ b/internal/quarantine/recent_responses.go
@@ -0,0 +1,29 @@
+package quarantine
+
+import "time"
+
+const (
+	// maxRecentResponses and generationTime bound each of the two generations of recentResponses.
+	maxRecentResponses = 2048
+	generationTime     = 5 * time.Minute
+)
+
+// recentResponses remembers which requests were answered recently, at least the
+// frequent ones.
+type recentResponses struct {
+	current, previous map[Key]struct{}
+	since             time.Time // start of the current generation
+}
+
+func (a *recentResponses) add(now time.Time, k Key) {
+	if a.current == nil || len(a.current) >= maxRecentResponses || now.Sub(a.since) >= generationTime {
+		a.previous, a.current, a.since = a.current, make(map[Key]struct{}), now
+	}
+	a.current[k] = struct{}{}
+}
+
+func (a *recentResponses) has(k Key) bool {
+	_, current := a.current[k]
+	_, previous := a.previous[k]
+	return current || previous
+}
--- /dev/null
+++ b/internal/quarantine/registry.go
@@ -0,0 +1,378 @@
+package quarantine
+
+import (
+	"errors"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/phuslu/log"
+
+	"github.com/tacktally/tacktally/api"
+)
+
+const (
+	// lossWindow is the longest time between a lost response and a crash, in either order, for the
+	// loss to count towards the crash.
+	lossWindow = time.Second
+	// settleTime is how long after the last change to its suspects a crash doesn't count towards
+	// the verdict on a sole top suspect: until all instances have reported which requests were
+	// there.
+	settleTime = 200 * time.Millisecond
+	// crashRetention is how long a crash is remembered.
+	crashRetention = 10 * time.Minute
+	// checkInterval is the shortest time between two diagnoses of an upstream at which responses
+	// are lost.
+	checkInterval = 100 * time.Millisecond
+	// initialPeriod is how long a request is quarantined at first. After a period one probe may
+	// show whether the upstreams have been fixed; if it crashes one, the next period is
+	// periodFactor times as long, up to maxPeriod.
+	initialPeriod = 2 * time.Minute
+	periodFactor  = 4
+	maxPeriod     = time.Hour
+	// probeTimeout is how long after a probe no other one is let through, unless the probe is
+	// answered.
+	probeTimeout = 10 * time.Second
+)
+
+// Bounds on the stored entries.
+const (
+	maxCrashes         = 64
+	maxSuspects        = 32 // per crash
+	maxQuarantined     = 256
+	maxPerOrganisation = 32 // quarantined requests per organisation
+	maxCleared         = 256
+)
+
+// Refusal returns the problem for a request that is quarantined for the given remaining time.
+func Refusal(left time.Duration) *api.Problem {
+	return api.Refuse(api.ReasonCrashesUpstreams, "upstreams crashed repeatedly while running this request, so it is quarantined; change it, or retry after the given time").WithRetryAfter(left)
+}
+
+// ErrQuarantined: the request is quarantined, since upstreams that run it crash.
+var ErrQuarantined = errors.New("request is quarantined, since upstreams that run it crash")
+
+// crash is the termination of one process of an upstream.
+type crash struct {
+	at time.Time
+	// lastChanged is when this instance added the crash or a suspect.
+	lastChanged time.Time
+	suspects    map[Key]suspicion
+}
+
+// period is a quarantine period of a request.
+type period struct {
+	until time.Time
+	// count is the number of periods so far; each is longer than the previous one.
+	count int
+	// clearings is how many clearings of the request were known when the period began. A later
+	// clearing ends the period.
+	clearings int
+	// probedAt is when a probe was let through after the period.
+	probedAt time.Time
+}
+
+// start returns when the period began.
+func (p period) start() time.Time { return p.until.Add(-periodLength(p.count)) }
+
+// periodLength returns the length of a request's period, counted from 1.
+func periodLength(count int) time.Duration {
+	length := initialPeriod
+	for range count - 1 {
+		if length *= periodFactor; length >= maxPeriod {
+			return maxPeriod
+		}
+	}
+	return length
+}
+
+// clearing records a response to a suspected request.
+type clearing struct {
+	at time.Time
+	// count is the number of the request's clearings known then, this one included. It
+	// distinguishes a new clearing from a known one; ages can't, since they shift by the message
+	// delay.
+	count int
+}
+
+// loss is a lost response, whether a crash caused it or not.
+type loss struct {
+	key     Key
+	started bool
+	at      time.Time
+}
+
+// Registry is one instance's knowledge of crashes and of the requests that were there. It is safe
+// for concurrent use.
+type Registry struct {
+	log  *log.Logger
+	owns func(Key) bool
+
+	mu          sync.Mutex
+	losses      map[string][]loss // by upstream process, within lossWindow
+	checked     map[string]time.Time
+	crashes     map[string]*crash // by upstream process
+	quarantined map[Key]period
+	cleared     map[Key]clearing
+	// responses remembers the requests that were recently answered here.
+	responses  recentResponses
+	verdictDue time.Time // when verdicts must be updated; zero if nothing changed
+	round      int       // selects the older entries of the next update
+}
+
+// New returns an empty registry. Owns reports whether this instance, of all reachable ones, is the
+// one that lets probes of a request through after a quarantine period.
+func New(l *log.Logger, owns func(Key) bool) *Registry {
+	return &Registry{
+		log:         l,
+		owns:        owns,
+		losses:      map[string][]loss{},
+		checked:     map[string]time.Time{},
+		crashes:     map[string]*crash{},
+		quarantined: map[Key]period{},
+		cleared:     map[Key]clearing{},
+	}
+}
+
+// RecordLostResponse records that the response to a request was lost at an upstream process.
+// Started reports whether a part of it had arrived; a request that was answered recently counts as
+// started. RecordLostResponse returns whether the upstream must be diagnosed, to tell a crash from
+// a broken connection, and whether the loss was added to a known crash, which peers must receive.
+func (r *Registry) RecordLostResponse(now time.Time, upstream string, k Key, started bool) (check, changed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	started = started || r.responses.has(k)
+	if c := r.crashes[upstream]; c != nil && now.Sub(c.at) < lossWindow {
+		return false, r.suspect(now, c, k, started)
+	}
+	r.dropExpired(now)
+	recent := slices.DeleteFunc(r.losses[upstream], func(l loss) bool { return now.Sub(l.at) > lossWindow })
+	r.losses[upstream] = append(recent, loss{key: k, started: started, at: now})
+	if !r.checked[upstream].IsZero() {
+		return false, false
+	}
+	r.checked[upstream] = now
+	return true, false
+}
+
+// RecordCrash records that an upstream process has terminated. It reports whether this is a change
+// that peers must receive: responses were lost in the crash.
+func (r *Registry) RecordCrash(now time.Time, upstream string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.dropExpired(now)
+	if len(r.losses[upstream]) == 0 {
+		return false
+	}
+	return r.recordLosses(now, upstream, now)
+}
+
+// recordLosses adds the responses lost at an upstream process to its crash, which it creates if it
+// is unknown. The caller holds the lock.
+func (r *Registry) recordLosses(now time.Time, upstream string, at time.Time) (changed bool) {
+	c := r.crashes[upstream]
+	if c == nil {
+		c = r.addCrash(now, upstream, at)
+		changed = true
+	}
+	lost := r.losses[upstream]
+	delete(r.losses, upstream)
+	for _, l := range lost {
+		if at.Sub(l.at).Abs() <= lossWindow {
+			changed = r.suspect(now, c, l.key, l.started) || changed
+		}
+	}
+	r.log.Warn().Str("event", "upstream_crashed").Str("upstream", upstream).Int("lost_here", len(lost)).Str("suspects", suspectNames(c.suspects)).Msg("upstream process terminated; requests that were there are suspects")
+	return changed
+}
+
+// addCrash adds an unknown crash, and drops the oldest one if there are too many. The caller holds
+// the lock.
+func (r *Registry) addCrash(now time.Time, upstream string, at time.Time) *crash {
+	if len(r.crashes) >= maxCrashes {
+		delete(r.crashes, r.oldestCrash())
+	}
+	c := &crash{at: at, lastChanged: now, suspects: map[Key]suspicion{}}
+	r.crashes[upstream] = c
+	return c
+}
+
+// suspect adds a request to the suspects of a crash, and reports whether that is a change. The
+// caller holds the lock.
+func (r *Registry) suspect(now time.Time, c *crash, k Key, started bool) bool {
+	previous, known := c.suspects[k]
+	switch {
+	case known && (previous == unanswered || started):
+		return false
+	case !known && r.cleared[k].at.After(c.at):
+		return false
+	case !known && len(c.suspects) >= maxSuspects:
+		return false
+	case !r.isQuarantined(k) && r.hasCause(c):
+		return false
+	}
+	c.suspects[k] = suspicionOf(started)
+	c.lastChanged = now
+	r.extend(k, c)
+	r.verdictDue = now.Add(settleTime)
+	return true
+}
+
+// extend begins a request's next quarantine period if it was at a crash after the previous one. The
+// caller holds the lock.
+func (r *Registry) extend(k Key, c *crash) {
+	p, ok := r.quarantined[k]
+	if ok && c.at.After(p.until) {
+		r.quarantine(k, period{until: c.at.Add(periodLength(p.count + 1)), count: p.count + 1, clearings: r.cleared[k].count})
+	}
+}
+
+// RecordResponse records that an upstream has answered a request, with any response: the upstream
+// survived it. It reports whether this is a change that peers must receive: the request was
+// suspected.
+func (r *Registry) RecordResponse(now time.Time, k Key) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.responses.add(now, k)
+	if !r.isSuspected(k) {
+		return false
+	}
+	r.clear(k, clearing{at: now, count: r.cleared[k].count + 1})
+	return true
+}
+
+// clear drops the evidence against a request up to the time of a clearing. The caller holds the
+// lock.
+func (r *Registry) clear(k Key, by clearing) {
+	r.cleared[k] = by
+	dropOldest(r.cleared, maxCleared, func(c clearing) time.Time { return c.at })
+	for _, c := range r.crashes {
+		if c.at.Before(by.at) {
+			delete(c.suspects, k)
+		}
+	}
+	if p, ok := r.quarantined[k]; ok && p.clearings < by.count {
+		delete(r.quarantined, k)
+		r.log.Info().Str("event", "request_cleared").Str("key", k.String()).Str("organisation", k.Organisation).Msg("suspected request was answered; its quarantine ends")
+	}
+}
+
+func (r *Registry) isSuspected(k Key) bool {
+	if _, ok := r.quarantined[k]; ok {
+		return true
+	}
+	for _, c := range r.crashes {
+		if _, suspected := c.suspects[k]; suspected {
+			return true
+		}
+	}
+	return false
+}
+
+// Admit returns how long an arriving request is still quarantined; 0 if it isn't. After a period
+// the instance that owns the request lets one probe through.
+func (r *Registry) Admit(now time.Time, k Key) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updateVerdicts(now)
+	p, ok := r.quarantined[k]
+	switch {
+	case !ok:
+		return 0
+	case now.Before(p.until):
+		return p.until.Sub(now)
+	case now.Sub(p.probedAt) < probeTimeout || !r.owns(k):
+		return probeTimeout
+	}
+	p.probedAt = now
+	r.quarantined[k] = p
+	r.log.Info().Str("event", "request_probed").Str("key", k.String()).Str("organisation", k.Organisation).Int("term", p.count).Msg("quarantine period has passed; one request is let through as a probe")
+	return 0
+}
+
+// Remaining returns how long an admitted request is still quarantined; 0 if it isn't.
+func (r *Registry) Remaining(now time.Time, k Key) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updateVerdicts(now)
+	return max(r.quarantined[k].until.Sub(now), 0)
+}
+
+// Count returns how many requests are quarantined.
+func (r *Registry) Count(now time.Time) (n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, p := range r.quarantined {
+		if p.until.After(now) {
+			n++
+		}
+	}
+	return n
+}
+
+// quarantine begins a quarantine period of a request. The caller holds the lock.
+func (r *Registry) quarantine(k Key, p period) {
+	r.quarantined[k] = p
+	end := func(p period) time.Time { return p.until }
+	own := func(other Key) bool { return other.Organisation == k.Organisation }
+	dropOldestOf(r.quarantined, own, maxPerOrganisation, end)
+	dropOldest(r.quarantined, maxQuarantined, end)
+	r.log.Warn().Str("event", "request_held").Str("key", k.String()).Str("organisation", k.Organisation).
+		Int("term", p.count).Str("crashed", joined(r.crashesOf(k))).Str("until", p.until.UTC().Format(time.RFC3339Nano)).Msg("request quarantined")
+}
+
+// crashesOf returns the upstream processes that crashed with a request. The caller holds the lock.
+func (r *Registry) crashesOf(k Key) (out []string) {
+	for upstream, c := range r.crashes {
+		if _, present := c.suspects[k]; present {
+			out = append(out, upstream)
+		}
+	}
+	slices.Sort(out)
+	return out
+}
+
+// dropExpired drops expired entries. The caller holds the lock.
+func (r *Registry) dropExpired(now time.Time) {
+	maps.DeleteFunc(r.losses, func(_ string, list []loss) bool { return now.Sub(list[len(list)-1].at) > lossWindow })
+	maps.DeleteFunc(r.checked, func(_ string, at time.Time) bool { return now.Sub(at) > checkInterval })
+	maps.DeleteFunc(r.crashes, func(_ string, c *crash) bool { return now.Sub(c.at) > crashRetention })
+	maps.DeleteFunc(r.cleared, func(_ Key, c clearing) bool { return now.Sub(c.at) > crashRetention })
+	maps.DeleteFunc(r.quarantined, func(_ Key, p period) bool { return now.Sub(p.until) > maxPeriod })
+}
+
+// oldestCrash returns the upstream process of the oldest crash, empty if there is none.
+func (r *Registry) oldestCrash() (oldest string) {
+	for upstream, c := range r.crashes {
+		if oldest == "" || c.at.Before(r.crashes[oldest].at) {
+			oldest = upstream
+		}
+	}
+	return oldest
+}
+
+// dropOldest removes the oldest entry if there are more than limit.
+func dropOldest[V any](from map[Key]V, limit int, at func(V) time.Time) {
+	dropOldestOf(from, func(Key) bool { return true }, limit, at)
+}
+
+// dropOldestOf removes the oldest of the entries for which counts returns true, if there are more
+// than limit of them.
+func dropOldestOf[V any](from map[Key]V, counts func(Key) bool, limit int, at func(V) time.Time) {
+	n := 0
+	var oldest Key
+	var oldestAt time.Time
+	for k, v := range from {
+		if !counts(k) {
+			continue
+		}
+		n++
+		if oldestAt.IsZero() || at(v).Before(oldestAt) {
+			oldest, oldestAt = k, at(v)
+		}
+	}
+	if n > limit { // by one at most, since it runs after each addition
+		delete(from, oldest)
+	}
+}
--- /dev/null
+++ b/internal/quarantine/verdict.go
@@ -0,0 +1,168 @@
+package quarantine
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// suspicion is the weight of a crash as evidence against a request that was there.
+type suspicion int
+
+const (
+	// responding: a part of the response had arrived, so that the upstream had run the request for
+	// a while. A request that was answered recently has the same weight.
+	responding suspicion = 1
+	// unanswered: no part of the response had arrived. A request that crashes an upstream mostly
+	// does so when it begins to run.
+	unanswered suspicion = 2
+)
+
+func suspicionOf(started bool) suspicion {
+	if started {
+		return responding
+	}
+	return unanswered
+}
+
+const (
+	// soleSuspectThreshold is the suspicion, over all crashes without another cause, from which a
+	// request is quarantined if no other request at these crashes is as suspect: two crashes
+	// without a response.
+	soleSuspectThreshold = 2 * int(unanswered)
+	// anySuspectThreshold is the same for a request that isn't the only top suspect: three crashes.
+	anySuspectThreshold = 3 * int(unanswered)
+)
+
+// updateVerdicts quarantines the requests that explain crashes best. The caller holds the lock.
+func (r *Registry) updateVerdicts(now time.Time) {
+	if r.verdictDue.IsZero() {
+		return
+	}
+	r.dropExplained()
+	for {
+		culprits := r.culprits(now)
+		if len(culprits) == 0 {
+			break
+		}
+		for _, k := range culprits {
+			r.quarantine(k, period{until: r.lastCrashTime(k).Add(periodLength(1)), count: 1, clearings: r.cleared[k].count})
+		}
+		r.dropExplained()
+	}
+	if !now.Before(r.verdictDue) {
+		r.verdictDue = time.Time{}
+	}
+}
+
+// dropExplained clears the other suspects of each crash at which a quarantined request was, since
+// the crash has its cause.
+func (r *Registry) dropExplained() {
+	for _, c := range r.crashes {
+		if r.hasCause(c) {
+			maps.DeleteFunc(c.suspects, func(k Key, _ suspicion) bool { return !r.isQuarantined(k) })
+		}
+	}
+}
+
+func (r *Registry) isQuarantined(k Key) bool {
+	_, ok := r.quarantined[k]
+	return ok
+}
+
+func (r *Registry) hasCause(c *crash) bool {
+	for k := range c.suspects {
+		if r.isQuarantined(k) {
+			return true
+		}
+	}
+	return false
+}
+
+// culprits returns the requests with the highest score among those that reach a threshold.
+func (r *Registry) culprits(now time.Time) (out []Key) {
+	all := r.scores(func(*crash) bool { return true })
+	settled := r.scores(func(c *crash) bool { return now.Sub(c.lastChanged) >= settleTime })
+	for k, score := range all {
+		if score >= anySuspectThreshold || (settled[k] >= soleSuspectThreshold && r.isTopSuspect(k, settled)) {
+			out = append(out, k)
+		}
+	}
+	highest := 0
+	for _, k := range out {
+		highest = max(highest, all[k])
+	}
+	return slices.DeleteFunc(out, func(k Key) bool { return all[k] < highest })
+}
+
+// simultaneousWindow is the time within which crashes count once against a request whose response
+// had started or that was answered recently: what terminates many processes at once isn't a request
+// that ran well. All crashes count against a request that an eager caller retries from crash to
+// crash, since it had no response.
+const simultaneousWindow = 100 * time.Millisecond
+
+// scores adds up the suspicion of each request over the crashes that count and have no known cause.
+func (r *Registry) scores(counts func(*crash) bool) map[Key]int {
+	score, last := map[Key]int{}, map[Key]time.Time{}
+	for _, c := range r.crashesByTime() {
+		if !counts(c) || r.hasCause(c) {
+			continue
+		}
+		for k, s := range c.suspects {
+			at, some := last[k]
+			if s == responding && some && c.at.Sub(at) < simultaneousWindow {
+				continue
+			}
+			score[k] += int(s)
+			last[k] = c.at
+		}
+	}
+	return score
+}
+
+// crashesByTime returns the crashes in the order of their times.
+func (r *Registry) crashesByTime() []*crash {
+	return slices.SortedFunc(maps.Values(r.crashes), func(x, y *crash) int { return x.at.Compare(y.at) })
+}
+
+// isTopSuspect reports whether no other request at the crashes of a request has as high a score.
+func (r *Registry) isTopSuspect(k Key, scores map[Key]int) bool {
+	for _, c := range r.crashes {
+		if _, present := c.suspects[k]; !present {
+			continue
+		}
+		for other := range c.suspects {
+			if other != k && scores[other] >= scores[k] {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// lastCrashTime returns the time of the last crash that a request was at.
+func (r *Registry) lastCrashTime(k Key) (last time.Time) {
+	for _, c := range r.crashes {
+		if _, present := c.suspects[k]; present && c.at.After(last) {
+			last = c.at
+		}
+	}
+	return last
+}
+
+// suspectNames lists suspects for logs, sorted.
+func suspectNames(suspects map[Key]suspicion) string {
+	var out []string
+	for k, s := range suspects {
+		name := k.String()
+		if s == responding {
+			name += " answering"
+		}
+		out = append(out, name)
+	}
+	slices.Sort(out)
+	return joined(out)
+}
+
+func joined(list []string) string { return strings.Join(list, ", ") }
