--- a/internal/exchange/encode.go
+++ b/internal/exchange/encode.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// perConnection are the headers that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the headers that apply to one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length", "Expect",
 }
 
-// EndToEndHeaders returns the headers to pass on: all but those that concern one connection.
+// EndToEndHeaders returns a copy of h without the hop-by-hop headers.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -23,13 +23,13 @@
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// encodeHead writes the request line and the headers.
+// encodeHead returns the encoded request line and headers.
 func encodeHead(r *Request) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method)
@@ -38,8 +38,8 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	_ = r.Header.Write(&b) // a buffer takes all
-	if len(r.Body) > 0 || hasBody(r.Method) {
+	_ = r.Header.Write(&b) // writing to a buffer never fails
+	if len(r.Body) > 0 || sendsLength(r.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
 		b.WriteString("\r\n")
@@ -48,7 +48,8 @@
 	return b.Bytes()
 }
 
-// hasBody tells whether a request of the method names its length even when it is 0.
-func hasBody(method string) bool {
+// sendsLength reports whether a request with the method has a Content-Length even if its body is
+// empty.
+func sendsLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,8 +1,8 @@
-// Package exchange makes one HTTP/1.1 exchange with an upstream at a time, on
-// connections that it keeps, and says exactly how far an exchange that failed got.
+// Package exchange makes HTTP/1.1 exchanges with an upstream over pooled connections, one exchange
+// at a time on each, and reports exactly how far a failed exchange got.
 //
-// The parsing is net/http's. Its Transport isn't used: it sends again by its own
-// rules, hides bytes that follow an answer, and doesn't tell what was written.
+// The parsing is net/http's. Its Transport isn't used: it retries by its own rules, hides bytes
+// that follow a response, and doesn't report how much of the request was written.
 package exchange
 
 import (
@@ -16,122 +16,122 @@
 	"time"
 )
 
-// Errors that tell how far an exchange got.
+// Errors that show how far an exchange got.
 var (
 	// ErrNotSent: no byte of the request was written. It can't have run.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrNoResponse: the request was written, in part at least, and no answer came.
-	// It may have run.
-	ErrNoResponse = errors.New("no answer came after the request was sent")
-	// ErrInvalidResponse: what came is no answer to the request. It may have run.
-	ErrInvalidResponse = errors.New("what came is no answer to the request")
-	// ErrTruncated: the answer ended early.
-	ErrTruncated = errors.New("the answer ended early")
+	// ErrNoResponse: the request was written, at least in part, and no response arrived. It may
+	// have run.
+	ErrNoResponse = errors.New("no response arrived after the request was sent")
+	// ErrInvalidResponse: the bytes that arrived are no response to the request. It may have run.
+	ErrInvalidResponse = errors.New("the received bytes are no response to the request")
+	// ErrTruncated: the response ended early.
+	ErrTruncated = errors.New("the response ended early")
 )
 
 const (
-	// inlineBody is the body size up to which the request is written before the
-	// answer is read; it fits any socket buffer. A larger one is written beside.
-	inlineBody = 8 << 10
-	// readBuffer is the size of a connection's read buffer: most heads and events
-	// fit.
-	readBuffer = 4 << 10
-	// maxStrays bounds the answers of other requests skipped on one connection.
-	maxStrays = 2
-	// maxStrayBytes bounds the body of one that is read over.
+	// maxInlineBodyBytes is the body size up to which the request is written before the response is
+	// read; it fits any socket buffer. A larger body is written concurrently.
+	maxInlineBodyBytes = 8 << 10
+	// readBufferBytes is the size of a connection's read buffer: most heads and events fit.
+	readBufferBytes = 4 << 10
+	// maxStrayResponses bounds the responses to other requests that are skipped on one connection.
+	maxStrayResponses = 2
+	// maxStrayBytes bounds the body of a skipped response.
 	maxStrayBytes = 64 << 10
-	// maxInterim bounds the 1xx answers skipped.
-	maxInterim = 4
+	// maxInterimResponses bounds the 1xx responses that are skipped.
+	maxInterimResponses = 4
 )
 
-// Request is what is sent.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
-	// Target as it stands in the request line.
+	// Target is the request target, written as given.
 	Target string
 	Host   string
-	// Header without Host, Content-Length and what concerns one connection only.
+	// Header must not contain Host, Content-Length or hop-by-hop headers.
 	Header http.Header
 	Body   []byte
-	// IsResponse tells whether a head answers this request; nil takes any.
+	// IsResponse reports whether a response header belongs to this request; nil accepts any.
 	IsResponse func(http.Header) bool
-	// BeforeSend is asked once a connection is there, right before the first byte is written: an
-	// error of it means that nothing is sent. Nil always may.
+	// BeforeSend is called on an established connection, right before the first byte is written. If
+	// it returns an error, nothing is sent. It may be nil.
 	BeforeSend func() error
 }
 
-// Response is the head of an answer, with the body to be read.
+// Response is the head of a response. Its body is read with Read; the caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
-	// ContentLength of the body, -1 where the head doesn't say.
+	// ContentLength is the length of the body, -1 if the head doesn't contain it.
 	ContentLength int64
-	// Reused tells that the connection had served before.
+	// Reused reports whether the connection had served an earlier exchange.
 	Reused bool
-	// Closing tells that the upstream says it closes the connection after the answer, as one that
-	// leaves does.
+	// Closing reports whether the upstream announces that it closes the connection after the
+	// response, as an upstream that is leaving does.
 	Closing bool
 
 	conn     *conn
 	response *http.Response
-	stop     func() bool // detaches the connection from the context
-	ended    bool
+	detach   func() bool // detaches the connection from the context
+	complete bool
 }
 
-// Read reads the body. It returns io.EOF at its end, or an error that wraps ErrCut.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.response.Body.Read(p)
+// Read reads the body. It returns io.EOF at the end of the body, or an error that wraps
+// ErrTruncated.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.response.Body.Read(p)
 	if err == nil {
 		return n, nil
 	}
 	if err != io.EOF { //nolint:errorlint // net/http returns it bare
 		return n, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
-	a.ended = true
+	r.complete = true
 	return n, io.EOF
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to its end
-// and nothing else came; otherwise it is closed, which tells the upstream to stop.
-func (a *Response) Close() {
-	detached := a.stop()
+// Close ends the exchange. The connection is kept if the response was read to its end and nothing
+// followed it; otherwise it is closed, which signals the upstream to stop.
+func (r *Response) Close() {
+	detached := r.detach()
 	switch {
-	case !a.ended || !detached:
-		a.conn.abort()
-	case a.conn.reusable(a.response):
-		a.conn.keep(a.Header)
+	case !r.complete || !detached:
+		r.conn.abort()
+	case r.conn.reusable(r.response):
+		r.conn.keep(r.Header)
 	default:
-		a.conn.close()
+		r.conn.close()
 	}
 }
 
 // conn is one connection to an upstream.
 type conn struct {
-	net     net.Conn
-	reader  *bufio.Reader
-	pool    *Pool
-	used    bool       // it has served an exchange
-	expires time.Time  // idle ones aren't used from then on
-	written chan error // of a body written beside; nil when written inline
-	strays  int        // answers of other requests that came
+	net         net.Conn
+	reader      *bufio.Reader
+	pool        *Pool
+	used        bool       // it has served an exchange
+	expires     time.Time  // when idle, it isn't used from then on
+	bodyWritten chan error // result of a body written concurrently; nil if it was written inline
+	strays      int        // responses to other requests that arrived
 }
 
 func (c *conn) close() {
-	_ = c.net.Close() // it is given up whatever it says
-	c.pool.closed()
+	_ = c.net.Close() // the connection is abandoned in any case
+	c.pool.connClosed()
 }
 
-// abort closes the connection with a reset, so that the kernel discards what hasn't arrived.
-// Otherwise a request that a path has held up would reach its upstream, which may have left
-// meanwhile, after it was given up.
+// abort closes the connection with a reset, so that the kernel discards unsent and unacknowledged
+// bytes. Otherwise a request that is delayed on the network path would reach its upstream after it
+// was given up, when the upstream may be leaving.
 func (c *conn) abort() {
 	if t, ok := c.net.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // one that is gone already needs none
+		_ = t.SetLinger(0) // a closed connection needs no reset
 	}
 	c.close()
 }
 
-// do writes the request and reads the head of its answer.
+// do writes the request and reads the head of its response.
 func (c *conn) do(ctx context.Context, r *Request) (*Response, error) {
 	if r.BeforeSend != nil {
 		if err := r.BeforeSend(); err != nil {
@@ -147,14 +147,14 @@
 		return nil, err
 	}
 	return &Response{
-		Status:   response.StatusCode,
-		Header:   response.Header,
-		ContentLength:   response.ContentLength,
-		Reused:   c.used,
-		Closing:  saysClose(response),
-		conn:     c,
-		response: response,
-		stop:     stop,
+		Status:        response.StatusCode,
+		Header:        response.Header,
+		ContentLength: response.ContentLength,
+		Reused:        c.used,
+		Closing:       announcesClose(response),
+		conn:          c,
+		response:      response,
+		detach:        stop,
 	}, nil
 }
 
@@ -170,27 +170,27 @@
 		if r.IsResponse == nil || r.IsResponse(response.Header) {
 			return response, nil
 		}
-		if err := c.skip(response); err != nil {
+		if err := c.skipStray(response); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// skip reads over the answer of another request.
-func (c *conn) skip(response *http.Response) error {
+// skipStray reads and discards the response to another request.
+func (c *conn) skipStray(response *http.Response) error {
 	c.strays++
-	if c.strays > maxStrays {
-		return fmt.Errorf("%w: answers of other requests came", ErrInvalidResponse)
+	if c.strays > maxStrayResponses {
+		return fmt.Errorf("%w: too many responses to other requests", ErrInvalidResponse)
 	}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes))
 	if err != nil {
-		return fmt.Errorf("%w: the answer of another request broke off: %w", ErrInvalidResponse, err)
+		return fmt.Errorf("%w: the response to another request broke off: %w", ErrInvalidResponse, err)
 	}
 	return nil
 }
 
 func (c *conn) readHead(method string) (*http.Response, error) {
-	for range maxInterim {
+	for range maxInterimResponses {
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 		}
@@ -202,21 +202,21 @@
 			return response, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: too many interim answers", ErrInvalidResponse)
+	return nil, fmt.Errorf("%w: too many interim responses", ErrInvalidResponse)
 }
 
-// write sends the request. Where nothing was written the error wraps ErrNotSent.
+// write sends the request. If nothing was written the error wraps ErrNotSent.
 func (c *conn) write(r *Request) error {
 	head := encodeHead(r)
-	c.written = nil
-	if len(r.Body) <= inlineBody {
-		return sent(c.net.Write(append(head, r.Body...)))
+	c.bodyWritten = nil
+	if len(r.Body) <= maxInlineBodyBytes {
+		return writeError(c.net.Write(append(head, r.Body...)))
 	}
-	if err := sent(c.net.Write(head)); err != nil {
+	if err := writeError(c.net.Write(head)); err != nil {
 		return err
 	}
 	done := make(chan error, 1)
-	c.written = done
+	c.bodyWritten = done
 	go func() {
 		_, err := c.net.Write(r.Body)
 		done <- err
@@ -224,7 +224,7 @@
 	return nil
 }
 
-func sent(n int, err error) error {
+func writeError(n int, err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -235,27 +235,27 @@
 	}
 }
 
-// saysClose tells whether an answer says that its connection is closed. That net/http tells so of
-// one without a length, too, says nothing.
-func saysClose(response *http.Response) bool {
+// announcesClose reports whether a response announces that its connection is closed. net/http also
+// sets Close for a response without a length, which is no announcement.
+func announcesClose(response *http.Response) bool {
 	hasEnd := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	return response.Close && hasEnd
 }
 
-// reusable tells whether the next exchange may use the connection.
+// reusable reports whether the next exchange may use the connection.
 func (c *conn) reusable(response *http.Response) bool {
 	if response.Close || c.strays > 0 || c.reader.Buffered() > 0 {
 		return false
 	}
-	if c.written == nil {
+	if c.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-c.written:
+	case err := <-c.bodyWritten:
 		return err == nil
-	default: // the rest of the body is still due
+	default: // a part of the body is not written yet
 		return false
 	}
 }
 
-func newReader(n net.Conn) *bufio.Reader { return bufio.NewReaderSize(n, readBuffer) }
+func newReader(n net.Conn) *bufio.Reader { return bufio.NewReaderSize(n, readBufferBytes) }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -17,8 +17,7 @@
 	"github.com/tacktally/tacktally/internal/soak"
 )
 
-// server answers each connection by a script, which gets the connection and how many
-// came before it.
+// server runs the script on each connection, with the number of earlier connections.
 func server(t *testing.T, script func(c net.Conn, r *bufio.Reader, n int)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +44,7 @@
 	return NewPool(Options{Address: address, ConnectTimeout: time.Second})
 }
 
-// readRequest reads one request, or returns nil at the connection's end.
+// readRequest reads one request, or returns nil at the end of the connection.
 func readRequest(r *bufio.Reader) *http.Request {
 	q, err := http.ReadRequest(r)
 	if err != nil {
@@ -89,7 +88,7 @@
 	is.Equal(<-raw, "POST //a/../b?x=%2f HTTP/1.1\r\nHost: h.example:80\r\nB: 1\r\nB: 2\r\nContent-Length: 4\r\n\r\nbody")
 }
 
-func TestEndToEndLeavesOutWhatConcernsOneConnection(t *testing.T) {
+func TestEndToEndHeadersOmitHopByHopHeaders(t *testing.T) {
 	is := is.New(t)
 	h := EndToEndHeaders(http.Header{
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=3"}, "Transfer-Encoding": {"chunked"},
@@ -98,19 +97,19 @@
 	is.Equal(h, http.Header{"Content-Type": {"a/b"}})
 }
 
-// What an upstream does with a connection after an answer, and whether the next
-// exchange may use it.
+// Checks which connections the next exchange may use, by what the upstream does with them after a
+// response.
 func TestWhichConnectionsAreKept(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 	for name, c := range map[string]struct {
-		answer string
-		kept   bool
+		response string
+		kept     bool
 	}{
-		"plain":                 {answer + "\r\nok", true},
-		"chunked":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
-		"says close":            {answer + "Connection: close\r\n\r\nok", false},
-		"bytes after an answer": {answer + "\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false},
-		"idle time is over":     {answer + "Keep-Alive: timeout=0\r\n\r\nok", false},
+		"plain":                  {response + "\r\nok", true},
+		"chunked":                {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
+		"announces close":        {response + "Connection: close\r\n\r\nok", false},
+		"bytes after a response": {response + "\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false},
+		"idle timeout is 0":      {response + "Keep-Alive: timeout=0\r\n\r\nok", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -118,7 +117,7 @@
 			address := server(t, func(conn net.Conn, r *bufio.Reader, n int) {
 				connections <- n
 				for readRequest(r) != nil {
-					_, _ = io.WriteString(conn, c.answer)
+					_, _ = io.WriteString(conn, c.response)
 				}
 			})
 			p := newPool(address)
@@ -132,8 +131,9 @@
 	}
 }
 
-// Only what the upstream says counts: an answer without a length ends with its connection, too.
-func TestWhichAnswersSayThatTheUpstreamCloses(t *testing.T) {
+// Only an announcement of the upstream counts: a response without a length also ends with its
+// connection.
+func TestWhichResponsesAnnounceAClose(t *testing.T) {
 	for head, closing := range map[string]bool{
 		"Content-Length: 2\r\n": false,
 		"":                      false,
@@ -148,12 +148,12 @@
 		})
 		a, err := newPool(address).Do(t.Context(), get("1"))
 		is.NoErr(err)
-		is.Equal(a.Closing, closing) // by its head
+		is.Equal(a.Closing, closing) // according to its head
 		a.Close()
 	}
 }
 
-func TestABodyWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestBodyWithoutLengthEndsWithItsConnection(t *testing.T) {
 	is := is.New(t)
 	address := server(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		readRequest(r)
@@ -169,7 +169,7 @@
 	_ = c.Close()
 }
 
-func TestABodyThatIsResetIsNotComplete(t *testing.T) {
+func TestResetBodyIsTruncated(t *testing.T) {
 	is := is.New(t)
 	read := make(chan struct{})
 	address := server(t, func(c net.Conn, r *bufio.Reader, _ int) {
@@ -188,15 +188,15 @@
 	a.Close()
 }
 
-func TestHowFarAFailedExchangeGot(t *testing.T) {
+func TestErrorsShowHowFarAnExchangeGot(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(c net.Conn, r *bufio.Reader, n int)
 		want   error
 	}{
 		"closed after the request": {func(_ net.Conn, r *bufio.Reader, _ int) { readRequest(r) }, ErrNoResponse},
 		"reset after the request":  {func(c net.Conn, r *bufio.Reader, _ int) { readRequest(r); reset(c) }, ErrNoResponse},
-		"no HTTP":                  {func(c net.Conn, r *bufio.Reader, _ int) { readRequest(r); _, _ = io.WriteString(c, "what?\r\n\r\n") }, ErrInvalidResponse},
-		"another request's answers": {func(c net.Conn, r *bufio.Reader, _ int) {
+		"not HTTP":                 {func(c net.Conn, r *bufio.Reader, _ int) { readRequest(r); _, _ = io.WriteString(c, "what?\r\n\r\n") }, ErrInvalidResponse},
+		"responses to another request": {func(c net.Conn, r *bufio.Reader, _ int) {
 			readRequest(r)
 			_, _ = io.WriteString(c, strings.Repeat("HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 2\r\n\r\nno", 3))
 		}, ErrInvalidResponse},
@@ -206,7 +206,7 @@
 			is.New(t).True(errors.Is(err, c.want))
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is := is.New(t)
 		is.NoErr(err)
@@ -216,13 +216,13 @@
 	})
 }
 
-func TestALateAnswerOfAnotherRequestIsSkipped(t *testing.T) {
+func TestLateResponseToAnotherRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
 	address := server(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 5\r\n\r\nother")
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok")
-		readRequest(r) // until it is closed: nothing more may come on it
+		readRequest(r) // blocks until the connection is closed: nothing more may arrive on it
 	})
 	p := newPool(address)
 	body, err := exchangeOnce(p, get("1"))
@@ -231,7 +231,7 @@
 	is.Equal(p.OpenConnections(), 0)
 }
 
-func TestInterimAnswersAreSkipped(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	address := server(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		readRequest(r)
@@ -242,9 +242,9 @@
 	is.Equal(body, "ok")
 }
 
-// An upstream that answers before it has read a long body reads the rest later: no
-// other bytes may come in their place.
-func TestAConnectionWithABodyStillDueIsNotUsedAgain(t *testing.T) {
+// An upstream that responds before it has read a long body reads the rest later: no other bytes may
+// take the place of that rest.
+func TestConnectionWithAnUnfinishedBodyIsNotReused(t *testing.T) {
 	is := is.New(t)
 	connections := make(chan int, 9)
 	hold := make(chan struct{})
@@ -266,14 +266,14 @@
 	is.Equal(len(connections), 2)
 }
 
-func TestTheEndOfTheContextBreaksAnExchangeOff(t *testing.T) {
+func TestCancelledContextAbortsAnExchange(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	begun := make(chan struct{})
 	address := server(t, func(_ net.Conn, r *bufio.Reader, _ int) {
 		readRequest(r)
 		close(begun)
-		_, _ = r.ReadByte() // until the other side closes
+		_, _ = r.ReadByte() // blocks until the other side closes
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -286,20 +286,20 @@
 	<-closed
 }
 
-// A request that was given up must not reach its upstream later. Bytes that a path has lost
-// are repeated by the kernel, also after the connection was closed, and arrive seconds later;
-// a reset discards them. The upstream sees a reset, and no end.
-func TestWhatIsGivenUpIsReset(t *testing.T) {
-	for name, answer := range map[string]string{
-		"before an answer":    "",
-		"while the body came": "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf",
+// A request that was given up must not reach its upstream later. The kernel retransmits bytes that
+// were lost on the network path, even after the connection was closed, and they arrive seconds
+// later; a reset discards them. The upstream sees a reset instead of an EOF.
+func TestAbandonedExchangeIsReset(t *testing.T) {
+	for name, response := range map[string]string{
+		"before a response": "",
+		"during the body":   "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			got, ended := make(chan struct{}), make(chan error, 1)
 			p := newPool(server(t, func(c net.Conn, r *bufio.Reader, _ int) {
 				readRequest(r)
-				_, _ = io.WriteString(c, answer)
+				_, _ = io.WriteString(c, response)
 				close(got)
 				_, err := r.ReadByte()
 				ended <- err
@@ -320,9 +320,9 @@
 	}
 }
 
-// A path holds a request up until after it was given up. It doesn't reach its upstream then,
-// which may have left meanwhile.
-func TestWhatIsGivenUpDoesNotArriveLater(t *testing.T) {
+// The network path delays a request until after it was given up. It must not reach its upstream
+// then, which may be leaving.
+func TestAbandonedRequestDoesNotArriveLater(t *testing.T) {
 	is := is.New(t)
 	arrived := make(chan struct{}, 9)
 	path, err := soak.NewProxy(server(t, func(_ net.Conn, r *bufio.Reader, _ int) {
@@ -337,23 +337,23 @@
 	defer cancel()
 	_, err = newPool(path.Address()).Do(ctx, get("1"))
 	is.True(err != nil)
-	is.True(path.Open() > 0) // it was under way
+	is.True(path.Open() > 0) // it was in transit
 	heal()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
 	for path.Open() > 0 {
 		select {
 		case <-arrived:
-			t.Fatal("it arrived after it was given up")
+			t.Fatal("the request arrived after it was given up")
 		case <-tick.C:
 		}
 	}
 	is.Equal(len(arrived), 0)
 }
 
-// Whether a request may be sent is asked when there is a connection, which may take its time,
-// and nothing is written if it may not.
-func TestARequestThatMayNotBeSentAnyMoreIsNotWritten(t *testing.T) {
+// BeforeSend is called once a connection exists, which may take a while, and nothing is written if
+// it returns an error.
+func TestNothingIsWrittenIfBeforeSendFails(t *testing.T) {
 	is := is.New(t)
 	connected, ended := make(chan struct{}), make(chan error, 1)
 	p := newPool(server(t, func(_ net.Conn, r *bufio.Reader, _ int) {
@@ -361,20 +361,20 @@
 		_, err := r.ReadByte()
 		ended <- err
 	}))
-	left := errors.New("it has left")
+	leaving := errors.New("the upstream is leaving")
 	r := get("1")
 	r.BeforeSend = func() error {
 		<-connected
-		return left
+		return leaving
 	}
 	_, err := p.Do(context.Background(), r)
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(errors.Is(err, left))
+	is.True(errors.Is(err, leaving))
 	is.Equal(<-ended, io.EOF)
 	is.Equal(p.OpenConnections(), 0)
 }
 
-func TestIdleConnectionsThatTheUpstreamClosedAreNotUsed(t *testing.T) {
+func TestIdleConnectionsClosedByTheUpstreamAreNotUsed(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	address := server(t, func(c net.Conn, r *bufio.Reader, n int) {
@@ -389,7 +389,7 @@
 	_, err := exchangeOnce(p, get("1"))
 	is.NoErr(err)
 	<-closed
-	for isQuiet(p.idle[0].net) { // until the end has come over the loopback
+	for isStillIdle(p.idle[0].net) { // until the EOF has arrived over the loopback
 	}
 	body, err := exchangeOnce(p, get("2"))
 	is.NoErr(err)
@@ -409,7 +409,7 @@
 	is.Equal(p.OpenConnections(), 1)
 	p.CloseExpired(time.Now())
 	is.Equal(p.OpenConnections(), 1)
-	p.CloseExpired(time.Now().Add(maxIdle))
+	p.CloseExpired(time.Now().Add(maxIdleTimeout))
 	is.Equal(p.OpenConnections(), 0)
 	_, err = exchangeOnce(p, get("1"))
 	is.NoErr(err)
@@ -417,5 +417,5 @@
 	is.Equal(p.OpenConnections(), 0)
 	_, err = exchangeOnce(p, get("1"))
 	is.NoErr(err)
-	is.Equal(p.OpenConnections(), 0) // nothing is kept any more
+	is.Equal(p.OpenConnections(), 0) // a closed pool keeps no connections
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	// defaultIdle is how long a connection is kept idle when the upstream doesn't
-	// say. Short, since nothing tells how long the upstream keeps it.
-	defaultIdle = 2 * time.Second
-	// maxIdle bounds it when the upstream does.
-	maxIdle = 20 * time.Second
-	// idleShare is the part of the upstream's own idle time that is used, so that
-	// a request doesn't cross its closing.
-	idleShare = 0.6
+	// defaultIdleTimeout is how long a connection is kept idle if the upstream announces no
+	// timeout. It is short, since the upstream's own timeout is unknown.
+	defaultIdleTimeout = 2 * time.Second
+	// maxIdleTimeout bounds an announced timeout.
+	maxIdleTimeout = 20 * time.Second
+	// idleTimeoutShare is the share of the upstream's announced timeout that is used, so that a
+	// request doesn't coincide with the upstream's close.
+	idleTimeoutShare = 0.6
 )
 
-// Pool keeps the connections to one upstream. Safe for concurrent use.
+// Pool keeps the connections to one upstream. It is safe for concurrent use.
 type Pool struct {
-	address string
-	dialer  *net.Dialer
-	timeout time.Duration // of making a connection
-	opened  func()        // called for each connection made
-	open    atomic.Int32
+	address        string
+	dialer         *net.Dialer
+	connectTimeout time.Duration
+	onOpen         func() // called for each new connection; may be nil
+	open           atomic.Int32
 
 	mu    sync.Mutex
-	idle  []*conn // the last used at the end
+	idle  []*conn // most recently used last
 	ended bool
 }
 
-// Options of a Pool.
+// Options are the settings of a Pool.
 type Options struct {
 	// Address of the upstream, IP:port.
 	Address string
-	// LocalIP is the IP number that connections come from; nil leaves it to the kernel.
+	// LocalIP is the source address of connections; nil leaves it to the kernel.
 	LocalIP net.IP
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout bounds the time to establish a connection.
 	ConnectTimeout time.Duration
-	// OnOpen is called for each connection made. May be nil.
+	// OnOpen is called for each new connection. It may be nil.
 	OnOpen func()
 }
 
@@ -59,13 +59,13 @@
 	if o.LocalIP != nil {
 		d.LocalAddr = &net.TCPAddr{IP: o.LocalIP}
 	}
-	return &Pool{address: o.Address, dialer: d, timeout: o.ConnectTimeout, opened: o.OnOpen}
+	return &Pool{address: o.Address, dialer: d, connectTimeout: o.ConnectTimeout, onOpen: o.OnOpen}
 }
 
-// Do makes one exchange and returns the head of the answer. It blocks until then.
-// The end of ctx breaks the exchange off, also while the body is read.
+// Do makes one exchange and returns the head of the response. It blocks until the head has arrived.
+// Cancelling ctx aborts the exchange, also while the body is read.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	c := p.take()
+	c := p.takeIdle()
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx); err != nil {
@@ -75,7 +75,7 @@
 	return c.do(ctx, r)
 }
 
-// CheckConnection makes a connection and closes it. It blocks for the time of making one at most.
+// CheckConnection opens a connection and closes it. It blocks for at most the connection timeout.
 func (p *Pool) CheckConnection(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err == nil {
@@ -87,7 +87,7 @@
 // OpenConnections returns how many connections are open.
 func (p *Pool) OpenConnections() int { return int(p.open.Load()) }
 
-// Close closes the idle connections and keeps none any more.
+// Close closes the idle connections. From then on connections are closed after their exchange.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -99,33 +99,33 @@
 	}
 }
 
-// CloseExpired closes connections that were idle for too long.
+// CloseExpired closes the connections whose idle timeout has passed.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
-	kept := p.idle[:0]
+	remaining := p.idle[:0]
 	var expired []*conn
 	for _, c := range p.idle {
 		if now.Before(c.expires) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		} else {
 			expired = append(expired, c)
 		}
 	}
-	p.idle = kept
+	p.idle = remaining
 	p.mu.Unlock()
 	for _, c := range expired {
 		c.close()
 	}
 }
 
-// take returns an idle connection on which nothing has come, or nil.
-func (p *Pool) take() *conn {
+// takeIdle returns an idle connection that is still usable, or nil.
+func (p *Pool) takeIdle() *conn {
 	for {
-		c := p.pop()
+		c := p.popIdle()
 		if c == nil {
 			return nil
 		}
-		if time.Now().Before(c.expires) && isQuiet(c.net) {
+		if time.Now().Before(c.expires) && isStillIdle(c.net) {
 			c.used = true
 			return c
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-func (p *Pool) pop() *conn {
+func (p *Pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -146,24 +146,24 @@
 }
 
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.timeout)
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	n, err := p.dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		return nil, err
 	}
 	p.open.Add(1)
-	if p.opened != nil {
-		p.opened()
+	if p.onOpen != nil {
+		p.onOpen()
 	}
 	return &conn{net: n, reader: newReader(n), pool: p}, nil
 }
 
-func (p *Pool) closed() { p.open.Add(-1) }
+func (p *Pool) connClosed() { p.open.Add(-1) }
 
-// keep puts a connection back for the next exchange.
+// keep returns a connection to the pool for the next exchange.
 func (c *conn) keep(h http.Header) {
-	c.expires = time.Now().Add(idleTime(h))
+	c.expires = time.Now().Add(idleTimeout(h))
 	p := c.pool
 	p.mu.Lock()
 	if !p.ended {
@@ -175,8 +175,8 @@
 	c.close()
 }
 
-// idleTime is how long a connection may stay idle by the upstream's Keep-Alive.
-func idleTime(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle, from the upstream's Keep-Alive header.
+func idleTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
@@ -184,15 +184,15 @@
 		}
 		seconds, err := strconv.Atoi(text)
 		if err != nil {
-			return defaultIdle // no number: as if it had said nothing
+			return defaultIdleTimeout // not a number: treated as if it were absent
 		}
-		return min(time.Duration(idleShare*float64(seconds)*float64(time.Second)), maxIdle)
+		return min(time.Duration(idleTimeoutShare*float64(seconds)*float64(time.Second)), maxIdleTimeout)
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// isQuiet tells whether neither bytes nor an end have come on an idle connection.
-func isQuiet(n net.Conn) bool {
+// isStillIdle reports whether neither data nor EOF has arrived on an idle connection.
+func isStillIdle(n net.Conn) bool {
 	t, ok := n.(syscall.Conn)
 	if !ok {
 		return true // a connection of a test
@@ -206,7 +206,7 @@
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
-		return true // never wait
+		return true // never block
 	})
 	return quiet && err == nil
 }
