--- a/internal/answer/buffer.go
+++ b/internal/answer/buffer.go
@@ -1,9 +1,9 @@
-// Package answer holds an answer while it is being made.
+// Package answer buffers a response while it is being produced.
 //
-// One writer fills a Buffer (the dispatcher, or the link to the instance that
-// dispatches); any number of readers follow it from its start (the caller, its
-// repeats, a peer). A held Buffer keeps its pieces, so that a later repeat gets
-// the whole answer; one that isn't held drops what its only reader has taken.
+// One writer fills a Buffer (the dispatcher, or the link to the instance that dispatches); any
+// number of readers read it from the start (the caller, its retries, a peer). A retained Buffer
+// keeps its chunks, so that a later retry gets the whole response; one that isn't retained drops
+// the chunks that its only reader has read.
 package answer
 
 import (
@@ -14,38 +14,38 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// StreamWindowBytes is how many bytes a writer may be ahead of the reader of a
-// Buffer that isn't held.
+// StreamWindowBytes is the number of unread bytes from which the writer of a Buffer that isn't
+// retained blocks.
 const StreamWindowBytes = 256 << 10
 
-// MaxRetainedBytes bounds one answer that is held whole, in bytes.
+// MaxRetainedBytes bounds one retained response, in bytes.
 const MaxRetainedBytes = 32 << 20
 
-// ErrTooLarge: a held answer passes MaxHeld.
-var ErrTooLarge = errors.New("the answer to a non-idempotent request is larger than 32 MiB, more than an instance holds for repeats; let the service answer with less, such as a reference")
+// ErrTooLarge: a retained response exceeds MaxRetainedBytes.
+var ErrTooLarge = errors.New("the response to a non-idempotent request is larger than 32 MiB, more than an instance retains for retries; let the service respond with less, such as a reference")
 
-// Head is the start of an answer.
+// Head is the head of a response.
 type Head struct {
 	// Status is the HTTP status, 200 to 599.
 	Status int `cbor:"1,keyasint"`
-	// ContentType of the body.
+	// ContentType is the media type of the body.
 	ContentType string `cbor:"2,keyasint,omitempty"`
-	// Upstream is the address that answered.
+	// Upstream is the address of the upstream that responded.
 	Upstream string `cbor:"3,keyasint,omitempty"`
-	// Instance is the address of the instance that dispatched.
+	// Instance is the address of the instance that dispatched the request.
 	Instance string `cbor:"4,keyasint,omitempty"`
-	// Revision of the configuration the request was served under.
+	// Revision is the revision of the configuration under which the request was served.
 	Revision int64 `cbor:"5,keyasint,omitempty"`
-	// Header holds further fields of a plain service's answer.
+	// Header holds further header fields of a plain service's response.
 	Header map[string][]string `cbor:"6,keyasint,omitempty"`
 }
 
-// End is the close of an answer. Problem is nil when the whole answer was given.
+// End is the end of a response. Problem is nil if the response is complete.
 type End struct {
 	Problem *api.Problem `cbor:"1,keyasint,omitempty"`
 }
 
-// Outcome returns the outcome that the end stands for.
+// Outcome returns the outcome of the request.
 func (e End) Outcome() api.Outcome {
 	if e.Problem == nil {
 		return api.Answered
@@ -53,35 +53,35 @@
 	return e.Problem.Outcome
 }
 
-// Buffer is one answer in the making. Safe for concurrent use.
+// Buffer is one response being produced. It is safe for concurrent use.
 type Buffer struct {
-	mu      sync.Mutex
-	held    bool
-	head    *Head
-	pieces  [][]byte
-	dropped int // pieces already taken by the reader of a Buffer that isn't held
-	bytes   int // bytes in pieces
-	written int // bytes ever written
-	end     *End
-	changed chan struct{}
-	onEnd   func(End, int)
+	mu       sync.Mutex
+	retained bool
+	head     *Head
+	chunks   [][]byte
+	dropped  int // chunks that the reader of a Buffer that isn't retained has read
+	bytes    int // bytes in chunks
+	written  int // total bytes written
+	end      *End
+	changed  chan struct{}
+	onEnd    func(End, int)
 }
 
-// New returns an empty Buffer. Held buffers keep all pieces.
-func New(held bool) *Buffer {
-	return &Buffer{held: held, changed: make(chan struct{})}
+// New returns an empty Buffer. A retained Buffer keeps all chunks.
+func New(retained bool) *Buffer {
+	return &Buffer{retained: retained, changed: make(chan struct{})}
 }
 
-// Refused returns a finished Buffer that holds only a Problem.
+// Refused returns a finished Buffer that contains only a Problem.
 func Refused(p *api.Problem) *Buffer {
 	b := New(true)
 	b.Finish(End{Problem: p})
 	return b
 }
 
-// OnEnd registers the function called once when the answer has ended, with its
-// end and its size. It is called without locks held, before readers see the end
-// of a Buffer that hasn't ended yet; at once on one that has.
+// OnEnd registers a function that is called once with the end and the size of the response. It is
+// called without locks held, before readers see the end; if the Buffer has ended already, it is
+// called at once.
 func (b *Buffer) OnEnd(f func(End, int)) {
 	b.mu.Lock()
 	end, size := b.end, b.bytes
@@ -108,38 +108,38 @@
 	b.wake()
 }
 
-// Started tells whether the head was set.
+// Started reports whether the head was set.
 func (b *Buffer) Started() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.head != nil
 }
 
-// Written returns how many bytes were ever written.
+// Written returns the total number of bytes written.
 func (b *Buffer) Written() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.written
 }
 
-// Write appends a piece, which the Buffer then owns. On a Buffer that isn't held
-// it blocks while the reader is UnheldWindow bytes behind, until ctx ends; on one
-// that is, it returns ErrTooLarge past MaxHeld.
-func (b *Buffer) Write(ctx context.Context, piece []byte) error {
+// Write appends a chunk, which the Buffer then owns. If the Buffer isn't retained, Write blocks
+// while the reader is StreamWindowBytes behind, until ctx ends; if it is, Write returns ErrTooLarge
+// beyond MaxRetainedBytes.
+func (b *Buffer) Write(ctx context.Context, chunk []byte) error {
 	for {
 		b.mu.Lock()
 		if b.end != nil {
 			b.mu.Unlock()
 			return nil
 		}
-		if b.held && b.bytes+len(piece) > MaxRetainedBytes {
+		if b.retained && b.bytes+len(chunk) > MaxRetainedBytes {
 			b.mu.Unlock()
 			return ErrTooLarge
 		}
-		if b.held || b.bytes < StreamWindowBytes {
-			b.pieces = append(b.pieces, piece)
-			b.bytes += len(piece)
-			b.written += len(piece)
+		if b.retained || b.bytes < StreamWindowBytes {
+			b.chunks = append(b.chunks, chunk)
+			b.bytes += len(chunk)
+			b.written += len(chunk)
 			b.wake()
 			b.mu.Unlock()
 			return nil
@@ -154,7 +154,7 @@
 	}
 }
 
-// Finish ends the answer. A second end is ignored.
+// Finish ends the response. A second end is ignored.
 func (b *Buffer) Finish(e End) {
 	b.mu.Lock()
 	if b.end != nil {
@@ -174,14 +174,14 @@
 	}
 }
 
-// Ended returns the end, or nil while the answer is being made.
+// Ended returns the end, or nil while the response is being produced.
 func (b *Buffer) Ended() *End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.end
 }
 
-// Wait blocks until the answer has ended or ctx has.
+// Wait blocks until the response or ctx has ended.
 func (b *Buffer) Wait(ctx context.Context) (*End, error) {
 	for {
 		b.mu.Lock()
@@ -198,28 +198,28 @@
 	}
 }
 
-// Reader follows a Buffer. It is for one goroutine.
+// Reader reads a Buffer. It must not be used concurrently.
 type Reader struct {
-	buffer *Buffer
-	next   int
-	headed bool
+	buffer   *Buffer
+	next     int
+	headRead bool
 }
 
-// Reader returns a reader at the start. A Buffer that isn't held takes one only.
+// Reader returns a reader at the start. A Buffer that isn't retained allows only one.
 func (b *Buffer) Reader() *Reader { return &Reader{buffer: b} }
 
-// Event is one step of an answer: exactly one field is set.
+// Event is one step of a response; exactly one field is set.
 type Event struct {
 	Head  *Head
 	Chunk []byte
 	End   *End
 }
 
-// Next blocks for the next step: the head, then pieces, then the end. A Problem
-// may be the first step. It returns ctx's error when ctx ends first.
+// Next blocks until the next step: the head, then the chunks, then the end. A Problem may be the
+// first step. If ctx ends first, Next returns its error.
 func (r *Reader) Next(ctx context.Context) (Event, error) {
 	for {
-		event, changed, ok := r.take()
+		event, changed, ok := r.tryNext()
 		if ok {
 			return event, nil
 		}
@@ -231,25 +231,25 @@
 	}
 }
 
-func (r *Reader) take() (Event, <-chan struct{}, bool) {
+func (r *Reader) tryNext() (Event, <-chan struct{}, bool) {
 	b := r.buffer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !r.headed && b.head != nil {
-		r.headed = true
+	if !r.headRead && b.head != nil {
+		r.headRead = true
 		return Event{Head: b.head}, nil, true
 	}
-	if at := r.next - b.dropped; at < len(b.pieces) {
-		piece := b.pieces[at]
+	if at := r.next - b.dropped; at < len(b.chunks) {
+		chunk := b.chunks[at]
 		r.next++
-		if !b.held {
-			b.pieces[at] = nil
-			b.pieces = b.pieces[at+1:]
+		if !b.retained {
+			b.chunks[at] = nil
+			b.chunks = b.chunks[at+1:]
 			b.dropped = r.next
-			b.bytes -= len(piece)
+			b.bytes -= len(chunk)
 			b.wake()
 		}
-		return Event{Chunk: piece}, nil, true
+		return Event{Chunk: chunk}, nil, true
 	}
 	if b.end != nil {
 		return Event{End: b.end}, nil, true
--- a/internal/answer/buffer_test.go
+++ b/internal/answer/buffer_test.go
@@ -12,7 +12,7 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// read follows a buffer to its end.
+// read reads a buffer to its end.
 func read(ctx context.Context, b *Buffer) (body string, end *End, err error) {
 	r := b.Reader()
 	for {
@@ -27,9 +27,9 @@
 	}
 }
 
-// Readers that come before, during and after the making of a held answer each get
-// the whole.
-func TestHeldAnswerIsReadWholeByAll(t *testing.T) {
+// Readers that start before, during and after the production of a retained response each get the
+// whole response.
+func TestRetainedResponseIsReadWholeByEveryReader(t *testing.T) {
 	is := is.New(t)
 	b := New(true)
 	var all sync.WaitGroup
@@ -55,25 +55,25 @@
 	all.Wait()
 }
 
-// A writer waits for the reader of an answer that isn't held, and its memory is
-// freed as it is read.
-func TestUnheldAnswerIsBounded(t *testing.T) {
+// A writer waits for the reader of a response that isn't retained, and its memory is freed as it is
+// read.
+func TestWriterOfAnUnretainedResponseWaitsForItsReader(t *testing.T) {
 	is := is.New(t)
 	b := New(false)
 	ctx, cancel := context.WithCancel(t.Context())
-	piece := make([]byte, StreamWindowBytes)
-	is.NoErr(b.Write(ctx, piece))
+	chunk := make([]byte, StreamWindowBytes)
+	is.NoErr(b.Write(ctx, chunk))
 	cancel()
-	is.True(errors.Is(b.Write(ctx, piece), context.Canceled)) // nobody has read
+	is.True(errors.Is(b.Write(ctx, chunk), context.Canceled)) // nothing was read yet
 	r := b.Reader()
 	_, err := r.Next(t.Context())
 	is.NoErr(err)
 	is.Equal(b.bytes, 0)
-	is.NoErr(b.Write(t.Context(), piece))
+	is.NoErr(b.Write(t.Context(), chunk))
 	is.Equal(b.Written(), 2*StreamWindowBytes)
 }
 
-func TestHeldAnswerHasABound(t *testing.T) {
+func TestRetainedResponseIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := New(true)
 	is.NoErr(b.Write(t.Context(), make([]byte, MaxRetainedBytes)))
