--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,4 +1,4 @@
-// Package sse reads server-sent events as they stand, byte for byte.
+// Package sse reads server-sent events unchanged, byte for byte.
 package sse
 
 import (
@@ -10,12 +10,12 @@
 	"strconv"
 )
 
-// ErrTooLarge: an event passes the bound.
-var ErrTooLarge = errors.New("an event is too large")
+// ErrTooLarge: an event exceeds the size limit.
+var ErrTooLarge = errors.New("event is too large")
 
-// Read reads up to and with the blank line that ends an event. Blank lines before it
-// are part of it. At the end of the stream it returns io.EOF, together with what came
-// after the last event; at any other error what came is left out.
+// Read reads one event up to and including the blank line that ends it. Blank lines before the
+// event are part of it. At the end of the stream it returns io.EOF with the bytes after the last
+// event; on any other error it returns no bytes.
 func Read(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	var event []byte
 	content := false
@@ -44,16 +44,16 @@
 	}
 }
 
-// HasBufferedEvent tells whether a whole event is in the reader's buffer already, so that
-// reading it won't block.
+// HasBufferedEvent reports whether the reader's buffer contains a whole event, so that reading it
+// won't block.
 func HasBufferedEvent(r *bufio.Reader) bool {
-	held, err := r.Peek(r.Buffered())
-	return err == nil && (bytes.Contains(held, []byte("\n\n")) || bytes.Contains(held, []byte("\r\n\r\n")))
+	buffered, err := r.Peek(r.Buffered())
+	return err == nil && (bytes.Contains(buffered, []byte("\n\n")) || bytes.Contains(buffered, []byte("\r\n\r\n")))
 }
 
 var idField = []byte("id:")
 
-// ID returns the number in an event's id field; ok is false where it has none.
+// ID returns the number in an event's id field; ok is false if it has none.
 func ID(event []byte) (id int64, ok bool) {
 	for line := range bytes.Lines(event) {
 		text, found := bytes.CutPrefix(line, idField)
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -24,13 +24,13 @@
 	is.Equal(string(rest), "id: 3\ndata")
 }
 
-func TestAnEventPastTheBoundIsAnError(t *testing.T) {
+func TestEventBeyondTheLimitIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(bufio.NewReader(strings.NewReader("data: 123456789\n\n")), 8)
 	is.True(errors.Is(err, ErrTooLarge))
 }
 
-func TestABrokenStreamGivesNoPartOfAnEvent(t *testing.T) {
+func TestBrokenStreamReturnsNoPartialEvent(t *testing.T) {
 	is := is.New(t)
 	r := bufio.NewReader(io.MultiReader(strings.NewReader("data: x\n"), brokenReader{}))
 	part, err := Read(r, 100)
@@ -53,7 +53,7 @@
 	is.True(!ok)
 }
 
-func TestBufferedSeesOnlyWholeEvents(t *testing.T) {
+func TestHasBufferedEventCountsOnlyWholeEvents(t *testing.T) {
 	is := is.New(t)
 	r := bufio.NewReader(strings.NewReader("data: x\n\ndata: y\n"))
 	is.True(!HasBufferedEvent(r)) // nothing was read yet
