--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -218,11 +218,11 @@
 		r.onFirst() // a failure comes sooner than a response would
 	}
 	if len(buffered) <= maxBufferedBytes {
-		response := &bufferedResponse{status: r.response.Status, header: r.response.Header, body: buffered}
-		if r.job.mayRetryFailure(response) {
-			return attemptResult{status: upstreamFailed, err: fmt.Errorf("status %d", response.status), failure: response}
+		complete := &bufferedResponse{status: r.response.Status, header: r.response.Header, body: buffered}
+		if r.job.mayRetryFailure(complete) {
+			return attemptResult{status: upstreamFailed, err: fmt.Errorf("status %d", complete.status), failure: complete}
 		}
-		return r.job.writeResponse(response)
+		return r.job.writeResponse(complete)
 	}
 	r.job.writeHead(r.response.Status, r.response.Header, r.response.ContentLength)
 	if result := r.job.write(buffered); result.status != completed {
