--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -113,8 +113,8 @@
 		Source:        o.Source,
 		Lease:         time.Duration(s.Routed.Lease),
 		ServeStale:    s.Routed.StaleKeys == settings.ServeStaleKeys,
-		Settle:        time.Duration(s.Routed.Settle),
-		Lapse:         lapseBeats * time.Duration(s.Routed.UpstreamHeartbeat),
+		SettlePeriod:  time.Duration(s.Routed.Settle),
+		LapseAfter:    lapseBeats * time.Duration(s.Routed.UpstreamHeartbeat),
 		OnUpstreams:   i.upstreamsChanged,
 		OnEvacuations: i.evacuationsChanged,
 		OnTable:       i.tableChanged,
@@ -130,7 +130,7 @@
 		Quotas:     i.quotas,
 		Quarantine: i.quarantine,
 		Announce:   func() { go i.mesh.Announce() },
-		Closing:    i.view.MayLeave,
+		Closing:    i.view.RecheckUpstream,
 		Doubt:      time.Duration(s.Routed.InForce),
 		Metrics:    i.metrics,
 		Log:        i.log,
@@ -237,7 +237,7 @@
 		age, _ := i.view.ListAge()
 		return age.Seconds()
 	})
-	i.metrics.Gauge("tacktally_zones_evacuated", func() float64 { return float64(len(i.view.Evacuated().Zones)) })
+	i.metrics.Gauge("tacktally_zones_evacuated", func() float64 { return float64(len(i.view.CurrentEvacuations().Zones)) })
 	i.metrics.Gauge("tacktally_upstreams_cold", func() float64 { return float64(i.fleet.ColdUpstreams()) })
 	i.metrics.Gauge("tacktally_upstreams_limited", func() float64 { return float64(i.fleet.LimitedUpstreams()) })
 	i.metrics.Gauge("tacktally_requests_held", func() float64 { return float64(i.quarantine.Count(time.Now())) })
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -19,8 +19,8 @@
 // nothing is a source and a protocol that know nothing.
 type nothing struct{}
 
-func (nothing) Entry(_ context.Context, id string) (view.Change, error) {
-	return view.Change{Gone: true, Upstream: view.Upstream{ID: id}}, nil
+func (nothing) ReadEntry(_ context.Context, id string) (view.Change, error) {
+	return view.Change{Removed: true, Upstream: view.Upstream{ID: id}}, nil
 }
 func (nothing) Run(ctx context.Context, _ view.Sink)     { <-ctx.Done() }
 func (nothing) Decode([]byte) (*routing.Document, error) { return nil, errors.New("nothing") }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -28,21 +28,21 @@
 // State implements peer.Handler.
 func (p *peers) State(f *peer.Fetch) *peer.State {
 	v := p.instance.view
-	configuration, age := v.Published()
-	list := v.HandOver(view.Have{Version: f.ListVersion, Whole: !f.Changes, Sums: f.Sums})
+	configuration, age := v.PublishedConfiguration()
+	list := v.ListFor(view.KnownState{Version: f.ListVersion, WholeOnly: !f.Changes, Checksums: f.Sums})
 	s := &peer.State{
 		Revision:    configuration.Revision,
 		Age:         age,
 		ListVersion: list.Version,
 		ListAge:     boottime.Since(list.AsOf),
 		ListSince:   list.Since,
-		ListParts:   list.Parts,
-		Vanished:    list.Vanished,
+		ListParts:   list.Chunks,
+		Vanished:    list.Removed,
 		ListDigest:  list.Digest,
 		Leaving:     p.instance.fleet.AllSaidLeaving(),
 		Limits:      p.instance.fleet.AllLimits(),
 		Missing:     list.Missing,
-		Evacuations: peer.Evacuations(v.Evacuated()),
+		Evacuations: peer.Evacuations(v.CurrentEvacuations()),
 	}
 	if f.Revision != configuration.Revision {
 		s.Content = configuration.Content
@@ -63,24 +63,24 @@
 // Fetch implements peer.Handler.
 func (p *peers) Fetch() *peer.Fetch {
 	v := p.instance.view
-	have := v.Have()
-	return &peer.Fetch{Revision: v.Revision(), ListVersion: have.Version, Changes: true, Sums: have.Sums}
+	have := v.KnownState()
+	return &peer.Fetch{Revision: v.Revision(), ListVersion: have.Version, Changes: true, Sums: have.Checksums}
 }
 
 // Learn implements peer.Handler. What the peer says was true when it was asked, or
 // later: its age is counted from then.
 func (p *peers) Learn(from string, asked time.Time, s *peer.State) {
 	v := p.instance.view
-	v.LearnEvacuations(view.Evacuations(s.Evacuations), from)
-	v.Learn(view.Configuration{Revision: s.Revision, Content: s.Content}, asked.Add(-s.Age), from)
+	v.MergeEvacuations(view.Evacuations(s.Evacuations), from)
+	v.MergeConfiguration(view.Configuration{Revision: s.Revision, Content: s.Content}, asked.Add(-s.Age), from)
 	list := view.List{
-		Version:  s.ListVersion,
-		AsOf:     asked.Add(-s.ListAge),
-		Since:    s.ListSince,
-		Parts:    s.ListParts,
-		Vanished: s.Vanished,
-		Missing:  s.Missing,
-		Digest:   s.ListDigest,
+		Version: s.ListVersion,
+		AsOf:    asked.Add(-s.ListAge),
+		Since:   s.ListSince,
+		Chunks:  s.ListParts,
+		Removed: s.Vanished,
+		Missing: s.Missing,
+		Digest:  s.ListDigest,
 	}
 	if len(s.List) > 0 {
 		if err := cbor.Unmarshal(s.List, &list.Upstreams); err != nil {
@@ -88,7 +88,7 @@
 			return
 		}
 	}
-	alike := v.LearnUpstreams(list, from)
+	alike := v.MergeUpstreams(list, from)
 	p.instance.fleet.LearnLeaving(from, s.Leaving)
 	p.instance.fleet.LearnLimits(from, s.Limits)
 	if !alike {
@@ -111,8 +111,8 @@
 		Limits:        i.fleet.TellLimits(),
 		Reads:         i.reading.active(),
 		Known:         i.mesh.Known(),
-		SteadyMS:      int(min(i.view.SteadyFor(), maxSteady).Milliseconds()),
-		Evacuations:   peer.Evacuations(i.view.Evacuated()),
+		SteadyMS:      int(min(i.view.SourceUptime(), maxSteady).Milliseconds()),
+		Evacuations:   peer.Evacuations(i.view.CurrentEvacuations()),
 		Quarantine:    i.quarantine.Tell(time.Now()),
 	}
 }
@@ -123,14 +123,14 @@
 	if !h.Brief {
 		i.fleet.SetOthers(from, scheduler.Load{Running: h.Running})
 	}
-	i.view.LearnEvacuations(view.Evacuations(h.Evacuations), from)
+	i.view.MergeEvacuations(view.Evacuations(h.Evacuations), from)
 	crashes := i.quarantine.Learn(time.Now(), h.Quarantine)
 	limits := i.fleet.LearnLimits(from, h.Limits)
 	if i.fleet.LearnLeaving(from, h.Leaving) || crashes || limits {
 		i.passOn()
 	}
 	if h.SteadyMS > 0 {
-		i.view.SourceWasThere(time.Duration(h.SteadyMS)*time.Millisecond, from)
+		i.view.MergeSourceUptime(time.Duration(h.SteadyMS)*time.Millisecond, from)
 	}
 	if i.isBehind(h) {
 		i.catchUp(from, h)
@@ -142,7 +142,7 @@
 const maxSteady = time.Minute
 
 func (i *Instance) isBehind(h *peer.Heartbeat) bool {
-	return i.view.IsBehind(h.ConfigVersion, h.Revision) || h.ListVersion > i.view.ListVersion()
+	return i.view.IsOlderThan(h.ConfigVersion, h.Revision) || h.ListVersion > i.view.ListVersion()
 }
 
 // farPatience is how long an instance that hears of something newer from another
--- a/internal/entry/places.go
+++ b/internal/entry/places.go
@@ -48,7 +48,7 @@
 
 // places tells what is known now.
 func (i *Instance) places() Places {
-	evacuated := i.view.Evacuated()
+	evacuated := i.view.CurrentEvacuations()
 	list := i.view.List().Upstreams
 	out := Places{Instance: i.address, Version: evacuated.Version, Zones: i.zones(evacuated.Zones, list), HeldStarts: i.fleet.HeldStarts()}
 	for _, u := range list {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -64,7 +64,7 @@
 		return stateDraining
 	case !known || r.view.ListVersion() == 0:
 		return stateStarting
-	case !r.view.Fresh(age):
+	case !r.view.IsUsable(age):
 		return stateOutOfTouch
 	default:
 		return stateReady
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -137,7 +137,7 @@
 		Metrics: telemetry.NewMetrics(), Log: telemetry.NewLogger(io.Discard, "error", "test"),
 	})
 	m.fleet.UseSlots(m)
-	m.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdPerSecond: coldBears}})
+	m.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdStartRate: coldBears}})
 	m.fleet.SetUpstreams(w.published())
 	m.reaches = w.side[m.address]
 	w.tell(m)
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -30,7 +30,7 @@
 // whyUnusable tells why an upstream of the list gets nothing new, nil where it does. The caller
 // holds the lock.
 func (f *Fleet) whyUnusable(u view.Upstream) error {
-	_, said := f.saidLeaving[processName(u.ID, u.Born)]
+	_, said := f.saidLeaving[processName(u.ID, u.Incarnation)]
 	switch {
 	case u.Leaving, said:
 		return ErrLeaving
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -97,7 +97,7 @@
 	w := &limitWorld{random: rand.New(rand.NewPCG(seed, 11)), limit: limit, addresses: map[string]*limitMember{}}
 	w.pressure = limitServers * max(limitPressure, limitSpare*limit)
 	for i := range limitServers {
-		w.list = append(w.list, view.Upstream{ID: fmt.Sprint("u-", i), Service: "s", Address: "127.0.0.1:1", Slots: limitSlots, Born: 1})
+		w.list = append(w.list, view.Upstream{ID: fmt.Sprint("u-", i), Service: "s", Address: "127.0.0.1:1", Slots: limitSlots, Incarnation: 1})
 	}
 	for i := range fleet {
 		m := &limitMember{world: w, address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
@@ -410,11 +410,11 @@
 	f := fleetOf("10.0.0.1:1", instances(1))
 	f.NoteLimit("i-7", time.Now(), ratelimit.Observation{Kind: ratelimit.Limited, PerSecond: 2})
 	entry := view.Upstream{ID: "i-7", Service: "s", Address: "127.0.0.1:1", Slots: 9}
-	f.ChangeUpstreams(view.ListChange{Version: 2, Gone: []string{"i-7"}})
+	f.ChangeUpstreams(view.ListChange{Version: 2, Removed: []string{"i-7"}})
 	f.ChangeUpstreams(view.ListChange{Version: 3, Changed: []view.Upstream{entry}})
 	_, limited := f.Limit("i-7")
 	is.True(limited)
-	entry.Born = 9
+	entry.Incarnation = 9
 	f.ChangeUpstreams(view.ListChange{Version: 4, Changed: []view.Upstream{entry}})
 	_, limited = f.Limit("i-7")
 	is.True(!limited)
--- a/internal/fleet/list_test.go
+++ b/internal/fleet/list_test.go
@@ -11,7 +11,7 @@
 	}
 	for id := range f.upstreams {
 		if !named[id] {
-			change.Gone = append(change.Gone, id)
+			change.Removed = append(change.Removed, id)
 		}
 	}
 	f.ChangeUpstreams(change)
--- a/internal/fleet/ownword_test.go
+++ b/internal/fleet/ownword_test.go
@@ -20,7 +20,7 @@
 		list := func(version int64, upstreams ...view.Upstream) {
 			f.SetUpstreams(view.List{Version: version, Upstreams: upstreams})
 		}
-		a, b := view.Upstream{ID: "a", Service: "app", Address: "10.0.0.1:80", Slots: 4, Born: 1}, view.Upstream{ID: "b", Service: "app", Address: "10.0.0.2:80", Slots: 4}
+		a, b := view.Upstream{ID: "a", Service: "app", Address: "10.0.0.1:80", Slots: 4, Incarnation: 1}, view.Upstream{ID: "b", Service: "app", Address: "10.0.0.2:80", Slots: 4}
 		is.True(!f.SaysLeaving("a")) // it isn't on the list
 		list(1, a, b)
 		is.NoErr(f.MayBeSent("a"))
@@ -34,7 +34,7 @@
 		<-time.After(wordKept) // virtual time
 		list(4, a, b)
 		is.True(errors.Is(f.MayBeSent("a"), ErrLeaving)) // its entry is back, around an outage
-		a.Born = 2
+		a.Incarnation = 2
 		list(5, a, b)
 		is.NoErr(f.MayBeSent("a"))
 		<-time.After(wordKept + time.Second)
@@ -46,7 +46,7 @@
 func TestPeersTellWhoHasSaidThatItLeaves(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.9:1", instances(1))
-	f.SetUpstreams(view.List{Version: 1, Upstreams: []view.Upstream{{ID: "a", Service: "app", Address: "10.0.0.1:80", Slots: 4, Born: 3}}})
+	f.SetUpstreams(view.List{Version: 1, Upstreams: []view.Upstream{{ID: "a", Service: "app", Address: "10.0.0.1:80", Slots: 4, Incarnation: 3}}})
 	is.True(!f.LearnLeaving("peer", []string{"a", "a@2", "other"})) // none of them is on the list
 	is.NoErr(f.MayBeSent("a"))
 	is.True(f.LearnLeaving("peer", []string{"a@3"}))
@@ -71,7 +71,7 @@
 		for range 200/inTurn + 1 {
 			told := s.fleet.SaidLeaving()
 			is.Equal(len(told), inTurn+1)
-			is.Equal(told[0], processName(s.list[250].ID, s.list[250].Born)) // the new one each time
+			is.Equal(told[0], processName(s.list[250].ID, s.list[250].Incarnation)) // the new one each time
 			for _, process := range told {
 				heard[process] = true
 			}
@@ -87,15 +87,15 @@
 	f := fleetOf("10.0.0.1:1", instances(1))
 	entry := view.Upstream{ID: "i-7", Service: "s", Address: "127.0.0.1:1", Slots: 9}
 	f.Rest("i-7", time.Minute)
-	f.ChangeUpstreams(view.ListChange{Version: 2, Gone: []string{"i-7"}})
+	f.ChangeUpstreams(view.ListChange{Version: 2, Removed: []string{"i-7"}})
 	f.ChangeUpstreams(view.ListChange{Version: 3, Changed: []view.Upstream{entry}})
 	is.Equal(f.MayBeSent("i-7"), ErrResting)
-	entry.Born = 9
+	entry.Incarnation = 9
 	f.ChangeUpstreams(view.ListChange{Version: 4, Changed: []view.Upstream{entry}})
 	is.NoErr(f.MayBeSent("i-7"))
 	f.Rest("i-7", time.Minute)
-	f.ChangeUpstreams(view.ListChange{Version: 5, Gone: []string{"i-7"}})
-	entry.Born = 10
+	f.ChangeUpstreams(view.ListChange{Version: 5, Removed: []string{"i-7"}})
+	entry.Incarnation = 10
 	f.ChangeUpstreams(view.ListChange{Version: 6, Changed: []view.Upstream{entry}})
 	is.NoErr(f.MayBeSent("i-7"))
 }
--- a/internal/fleet/places.go
+++ b/internal/fleet/places.go
@@ -38,8 +38,8 @@
 	for name, s := range services {
 		f.serviceOf(name).coldStart = scheduler.ColdStart{
 			For:       s.ColdStart,
-			PerSecond: s.ColdPerSecond,
-			Most:      f.o.ColdOverage*s.ColdPerSecond + f.o.ColdSlack,
+			PerSecond: s.ColdStartRate,
+			Most:      f.o.ColdOverage*s.ColdStartRate + f.o.ColdSlack,
 		}
 	}
 	f.mu.Unlock()
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -26,7 +26,7 @@
 func newSized(upstreams, others int) *sized {
 	s := &sized{version: 1}
 	for i := range upstreams {
-		s.list = append(s.list, view.Upstream{ID: fmt.Sprintf("i-%06d", i), Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8, Born: 1_000_000 + int64(i)})
+		s.list = append(s.list, view.Upstream{ID: fmt.Sprintf("i-%06d", i), Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8, Incarnation: 1_000_000 + int64(i)})
 	}
 	log := telemetry.NewLogger(io.Discard, "error", "test")
 	s.fleet = New(Options{Instance: "10.0.0.0:1", Limits: queue.Limits{MaxItems: 9}, Quarantine: quarantine.New(log, nil), Metrics: telemetry.NewMetrics(), Log: log})
@@ -86,7 +86,7 @@
 	before := members(s.fleet)
 	is.Equal(len(before), 300)
 	s.change()
-	s.fleet.ChangeUpstreams(view.ListChange{Version: 9, Changed: []view.Upstream{{ID: "i-new", Service: "s", Address: "127.0.0.1:2", Slots: 8}}, Gone: []string{s.list[5].ID}})
+	s.fleet.ChangeUpstreams(view.ListChange{Version: 9, Changed: []view.Upstream{{ID: "i-new", Service: "s", Address: "127.0.0.1:2", Slots: 8}}, Removed: []string{s.list[5].ID}})
 	after := members(s.fleet)
 	is.Equal(len(after), 300)
 	is.True(!after[s.list[5].ID] && after["i-new"])
@@ -116,7 +116,7 @@
 		s.fleet.ChangeUpstreams(view.ListChange{Version: int64(i + 2), Changed: []view.Upstream{u}})
 	}
 	for i := range 100 {
-		s.fleet.ChangeUpstreams(view.ListChange{Version: int64(i + 300), Gone: []string{fmt.Sprint("j-", i)}})
+		s.fleet.ChangeUpstreams(view.ListChange{Version: int64(i + 300), Removed: []string{fmt.Sprint("j-", i)}})
 	}
 	want := shardsOf(220)
 	shards := s.fleet.all()
@@ -144,7 +144,7 @@
 		s := newSized(shardSize, 0)
 		s.fleet.slots = nil // it grants alone
 		s.fleet.o.ColdOverage, s.fleet.o.ColdSlack = coldOverage, coldSlack
-		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdPerSecond: coldBears}})
+		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdStartRate: coldBears}})
 		return s
 	}
 	first, second := owner(), owner()
@@ -162,7 +162,7 @@
 	}
 	grantAll(first.fleet.all())
 	more := view.ListChange{Version: 2, Changed: []view.Upstream{{ID: "j-1", Service: "s", Address: "127.0.0.1:1", Slots: 8}}}
-	fewer := view.ListChange{Version: 3, Gone: []string{"j-1"}}
+	fewer := view.ListChange{Version: 3, Removed: []string{"j-1"}}
 	for _, change := range []view.ListChange{more, fewer} {
 		first.fleet.ChangeUpstreams(change)
 		second.fleet.ChangeUpstreams(change)
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -19,7 +19,7 @@
 }
 
 // process names the process that it has.
-func (u *upstream) process() string { return processName(u.ID, u.Born) }
+func (u *upstream) process() string { return processName(u.ID, u.Incarnation) }
 
 // keepCold makes it count as cold for so long at least.
 func (u *upstream) keepCold(now time.Time, least time.Duration) {
@@ -36,7 +36,7 @@
 		Region:    f.o.Regions[u.Zone],
 		Slots:     u.Slots,
 		Leaving:   u.unusable != nil,
-		Born:      u.Born,
+		Born:      u.Incarnation,
 		ColdUntil: u.listed.Add(u.Cold),
 		Limit:     f.limitOf(u.process()),
 	}
@@ -74,7 +74,7 @@
 	f.version = change.Version
 	now := time.Now()
 	updated := updates{}
-	for _, id := range change.Gone {
+	for _, id := range change.Removed {
 		f.removeUpstream(id, updated)
 	}
 	for _, u := range change.Changed {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -49,7 +49,7 @@
 		for address, i := range s.instances {
 			kept := 0
 			for other := range i.links {
-				wanted := slices.Contains(i.plan.Wants(s.now), other) || slices.Contains(s.instances[other].plan.Wants(s.now), address)
+				wanted := slices.Contains(i.plan.WantedLinks(s.now), other) || slices.Contains(s.instances[other].plan.WantedLinks(s.now), address)
 				if wanted {
 					kept++
 				}
@@ -189,7 +189,7 @@
 	s.converge(t, 25)
 	s.settle(forgetAfter + 2*time.Second)
 	for address, i := range s.instances {
-		if known := i.plan.Known(); known != 29 {
+		if known := i.plan.KnownCount(); known != 29 {
 			t.Fatalf("%s knows %d", address, known)
 		}
 	}
@@ -210,16 +210,16 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table := NewTable(Member{Address: "a", Zone: "z"})
-	old := News{Address: "b", Zone: "z", Incarnation: 1, Age: time.Minute}
-	table.Hear(now, "h1", &Telling{Kind: Reached, Full: true, News: []News{old}})
-	table.Hear(now, "h2", &Telling{Kind: Reached, Full: true, News: []News{{Address: "b", Zone: "z", Incarnation: 2, Age: time.Second}}})
+	old := Record{Address: "b", Zone: "z", Incarnation: 1, Age: time.Minute}
+	table.Merge(now, "h1", &Update{Kind: Indirect, Full: true, Records: []Record{old}})
+	table.Merge(now, "h2", &Update{Kind: Indirect, Full: true, Records: []Record{{Address: "b", Zone: "z", Incarnation: 2, Age: time.Second}}})
 	old.Age = time.Millisecond // it was delayed
-	table.Hear(now, "h3", &Telling{Kind: Reached, Full: true, News: []News{old}})
+	table.Merge(now, "h3", &Update{Kind: Indirect, Full: true, Records: []Record{old}})
 	m, _ := table.Member("b")
 	is.Equal(m.Incarnation, uint64(2))
-	table.Unlink(now, "h2") // the others vouch for the old one alone
-	is.True(!table.InReach(now, "b"))
-	table.Link(now, Member{Address: "b", Zone: "z", Incarnation: 1, Started: now.Add(-time.Minute)})
+	table.LinkDown(now, "h2") // the others vouch for the old one alone
+	is.True(!table.Reachable(now, "b"))
+	table.LinkUp(now, Member{Address: "b", Zone: "z", Incarnation: 1, Started: now.Add(-time.Minute)})
 	m, _ = table.Member("b")
 	is.Equal(m.Incarnation, uint64(1)) // a link is proof, whatever was told
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -21,8 +21,8 @@
 	Draining bool
 }
 
-// News is what one instance tells another of a member.
-type News struct {
+// Record is what one instance tells another of a member.
+type Record struct {
 	Address     string  `cbor:"1,keyasint"`
 	Zone        string  `cbor:"2,keyasint,omitempty"`
 	Incarnation uint64  `cbor:"3,keyasint,omitempty"`
@@ -30,8 +30,8 @@
 	// Age is the time since its process started.
 	Age      time.Duration `cbor:"5,keyasint,omitempty"`
 	Draining bool          `cbor:"6,keyasint,omitempty"`
-	// Gone takes back what was told of it before.
-	Gone bool `cbor:"7,keyasint,omitempty"`
+	// Removed takes back what was told of it before.
+	Removed bool `cbor:"7,keyasint,omitempty"`
 }
 
 // Kind of a telling says what the teller knows its members by, which decides whether the
@@ -40,23 +40,23 @@
 
 // The kinds.
 const (
-	// Nothing takes back what was told before.
-	Nothing Kind = iota
-	// Linked members are linked to the teller, a hub. Other hubs pass them on.
-	Linked
-	// Reached members are linked to the teller or to a hub that has told it. They aren't
+	// None takes back what was told before.
+	None Kind = iota
+	// Direct members are linked to the teller, a hub. Other hubs pass them on.
+	Direct
+	// Indirect members are linked to the teller or to a hub that has told it. They aren't
 	// passed on: what goes in circles could never be taken back.
-	Reached
-	// Introduced members are those that somebody vouches for to the teller. An instance that
+	Indirect
+	// Bootstrap members are those that somebody vouches for to the teller. An instance that
 	// starts finds the hubs among them.
-	Introduced
+	Bootstrap
 )
 
-// Telling is what one instance tells another at a time. A Full one replaces all before it.
-type Telling struct {
-	Kind Kind   `cbor:"1,keyasint"`
-	Full bool   `cbor:"2,keyasint,omitempty"`
-	News []News `cbor:"3,keyasint,omitempty"`
+// Update is what one instance tells another at a time. A Full one replaces all before it.
+type Update struct {
+	Kind    Kind     `cbor:"1,keyasint"`
+	Full    bool     `cbor:"2,keyasint,omitempty"`
+	Records []Record `cbor:"3,keyasint,omitempty"`
 }
 
 // endedKept is how many former incarnations of an address are remembered: news of them may
@@ -104,13 +104,13 @@
 	return true
 }
 
-func (e *entry) news(now time.Time, gone bool) News {
+func (e *entry) news(now time.Time, gone bool) Record {
 	if gone {
-		return News{Address: e.Address, Gone: true}
+		return Record{Address: e.Address, Removed: true}
 	}
-	return News{Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation, Cores: e.Cores, Age: now.Sub(e.Started), Draining: e.Draining}
+	return Record{Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation, Cores: e.Cores, Age: now.Sub(e.Started), Draining: e.Draining}
 }
 
-func (n *News) member(now time.Time) Member {
+func (n *Record) member(now time.Time) Member {
 	return Member{Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Cores: n.Cores, Started: now.Add(-n.Age), Draining: n.Draining}
 }
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -78,9 +78,9 @@
 	return n
 }
 
-// Known is the number of other instances that are known, seeds that weren't heard of among
+// KnownCount is the number of other instances that are known, seeds that weren't heard of among
 // them.
-func (o *Overlay) Known() int {
+func (o *Overlay) KnownCount() int {
 	n := len(o.members)
 	for _, s := range o.seeds {
 		if _, met := o.members[s]; !met && s != o.self.Address {
@@ -133,8 +133,8 @@
 	return slices.Contains(o.allHubs(now)[zone], address)
 }
 
-// Wants returns the addresses with which links are to be kept now.
-func (o *Overlay) Wants(now time.Time) []string {
+// WantedLinks returns the addresses with which links are to be kept now.
+func (o *Overlay) WantedLinks(now time.Time) []string {
 	out := append(o.wantedSeeds(now), o.tried(now, o.self.Zone)...)
 	if o.IsHub(now) && now.Sub(o.started) >= hubAfter {
 		out = append(out, o.wantedHubs(now)...)
@@ -182,7 +182,7 @@
 // isToldBy tells whether a hub of a zone tells this instance of others.
 func (o *Overlay) isToldBy(zone string) bool {
 	for peer, s := range o.sources {
-		if e := o.members[peer]; e != nil && e.Zone == zone && s.kind != Nothing && s.until.IsZero() {
+		if e := o.members[peer]; e != nil && e.Zone == zone && s.kind != None && s.until.IsZero() {
 			return true
 		}
 	}
@@ -236,10 +236,10 @@
 	return false
 }
 
-// Probe returns an address out of reach to be tried, so that parts of a fleet that have lost
+// ReconnectCandidate returns an address out of reach to be tried, so that parts of a fleet that have lost
 // each other find together again. Hubs try one at a time; who has lost all others of its zone
 // takes itself for a hub.
-func (o *Overlay) Probe(now time.Time) (address string, some bool) {
+func (o *Overlay) ReconnectCandidate(now time.Time) (address string, some bool) {
 	if !o.IsHub(now) {
 		return "", false
 	}
@@ -250,7 +250,7 @@
 		}
 	}
 	for _, s := range o.seeds {
-		if s != o.self.Address && !o.InReach(now, s) {
+		if s != o.self.Address && !o.Reachable(now, s) {
 			out = append(out, s)
 		}
 	}
@@ -265,28 +265,28 @@
 func (o *Overlay) KindFor(now time.Time, peer string) Kind {
 	e := o.members[peer]
 	if e == nil {
-		return Nothing
+		return None
 	}
 	hub := o.IsHub(now)
 	switch {
 	case hub && o.isHub(now, e.Zone, peer):
-		return Linked
+		return Direct
 	case hub && e.Zone == o.self.Zone:
-		return Reached
+		return Indirect
 	case o.IsSeed() && slices.Contains(o.seeds, peer):
-		return Reached
+		return Indirect
 	default:
-		return Nothing
+		return None
 	}
 }
 
-// Introduces tells whether a peer that has dialled this instance is introduced to others
+// SendsBootstrap tells whether a peer that has dialled this instance is introduced to others
 // beside: it isn't told of them anyway, and has just started or knows far fewer by its own
 // word. Whoever comes to an instance may know nobody else; a seed needn't know that it is one.
-func (o *Overlay) Introduces(now time.Time, peer string, known int) bool {
+func (o *Overlay) SendsBootstrap(now time.Time, peer string, known int) bool {
 	e := o.members[peer]
-	if e == nil || o.KindFor(now, peer) == Reached {
+	if e == nil || o.KindFor(now, peer) == Indirect {
 		return false
 	}
-	return now.Sub(e.Started) < startFor || knowsFew*known < o.Known()
+	return now.Sub(e.Started) < startFor || knowsFew*known < o.KnownCount()
 }
--- a/internal/membership/simulated_test.go
+++ b/internal/membership/simulated_test.go
@@ -44,7 +44,7 @@
 
 type message struct {
 	from    string
-	telling *Telling
+	telling *Update
 }
 
 func newSimulated(seed uint64) *simulated {
@@ -117,7 +117,7 @@
 			delete(i.links, side[1])
 			delete(i.dialled, side[1])
 			delete(i.upTo, side[1])
-			i.plan.Unlink(s.now, side[1])
+			i.plan.LinkDown(s.now, side[1])
 		}
 	}
 }
@@ -161,12 +161,12 @@
 	i.inbox = nil
 	for _, m := range inbox {
 		if i.links[m.from] { // what a link that has ended brought is lost with it
-			i.plan.Hear(s.now, m.from, m.telling)
+			i.plan.Merge(s.now, m.from, m.telling)
 		}
 	}
 	i.plan.Tick(s.now)
-	want := i.plan.Wants(s.now)
-	if probe, some := i.plan.Probe(s.now); some {
+	want := i.plan.WantedLinks(s.now)
+	if probe, some := i.plan.ReconnectCandidate(s.now); some {
 		want = append(want, probe)
 	}
 	for _, other := range want {
@@ -184,16 +184,16 @@
 	}
 	switch {
 	case s.dark[other]:
-		s.in(failedRounds, func() { i.plan.Fail(s.now, other) })
+		s.in(failedRounds, func() { i.plan.LinkFailed(s.now, other) })
 		return
 	case o == nil || !s.reaches(i, o):
-		i.plan.Fail(s.now, other)
+		i.plan.LinkFailed(s.now, other)
 		return
 	}
 	i.links[other], o.links[address] = true, true
 	i.dialled[other] = true
-	i.plan.Link(s.now, o.self)
-	o.plan.Link(s.now, i.self)
+	i.plan.LinkUp(s.now, o.self)
+	o.plan.LinkUp(s.now, i.self)
 }
 
 func (s *simulated) tell(address string, i *instance, other string) {
@@ -205,21 +205,21 @@
 	retract := false
 	if kind := i.plan.KindFor(s.now, other); kind != upTo.kind {
 		upTo.kind, upTo.change = kind, 0
-		retract = kind == Nothing
+		retract = kind == None
 	}
 	send := func(kind Kind, since uint64) uint64 {
-		told, change := i.plan.Tell(s.now, kind, since)
-		if len(told.News) > 0 || told.Full {
+		told, change := i.plan.UpdateSince(s.now, kind, since)
+		if len(told.Records) > 0 || told.Full {
 			o.inbox = append(o.inbox, message{address, told})
-			s.told += len(told.News)
+			s.told += len(told.Records)
 		}
 		return change
 	}
-	if upTo.kind != Nothing || retract {
+	if upTo.kind != None || retract {
 		upTo.change = send(upTo.kind, upTo.change)
 	}
-	if !i.dialled[other] && i.plan.Introduces(s.now, other, o.plan.Known()) {
-		upTo.introduced = send(Introduced, upTo.introduced)
+	if !i.dialled[other] && i.plan.SendsBootstrap(s.now, other, o.plan.KnownCount()) {
+		upTo.introduced = send(Bootstrap, upTo.introduced)
 	}
 	i.upTo[other] = upTo
 }
@@ -233,13 +233,13 @@
 		for _, m := range i.plan.Members(s.now) {
 			o := s.instances[m.Address]
 			there := o != nil && s.reaches(i, o)
-			if m.InReach != there {
-				return fmt.Sprintf("%s: %s in reach %v, is there %v", address, m.Address, m.InReach, there)
+			if m.Reachable != there {
+				return fmt.Sprintf("%s: %s in reach %v, is there %v", address, m.Address, m.Reachable, there)
 			}
 			if there && m.Incarnation != o.self.Incarnation {
 				return fmt.Sprintf("%s holds an old process of %s", address, m.Address)
 			}
-			if m.InReach {
+			if m.Reachable {
 				inReach++
 			}
 		}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -40,8 +40,8 @@
 // Status of a member.
 type Status struct {
 	Member
-	// InReach tells whether anybody vouches for it.
-	InReach bool
+	// Reachable tells whether anybody vouches for it.
+	Reachable bool
 }
 
 // NewTable returns the table of an instance that knows no other.
@@ -49,9 +49,9 @@
 	return &Table{self: self, members: map[string]*entry{}, sources: map[string]*source{}}
 }
 
-// Change counts the changes of which members there are and which are within reach, but for
+// ChangeCount counts the changes of which members there are and which are within reach, but for
 // those that come with time alone.
-func (t *Table) Change() uint64 { return t.change }
+func (t *Table) ChangeCount() uint64 { return t.change }
 
 // Member returns what is known of an address.
 func (t *Table) Member(address string) (Member, bool) {
@@ -62,11 +62,11 @@
 	return e.Member, true
 }
 
-// Drain notes whether this instance itself drains: then it is no hub.
-func (t *Table) Drain(drains bool) { t.self.Draining = drains }
+// SetSelfDraining notes whether this instance itself drains: then it is no hub.
+func (t *Table) SetSelfDraining(drains bool) { t.self.Draining = drains }
 
-// Link notes that a link to a member is up, which is proof of its process.
-func (t *Table) Link(now time.Time, m Member) {
+// LinkUp notes that a link to a member is up, which is proof of its process.
+func (t *Table) LinkUp(now time.Time, m Member) {
 	if m.Address == t.self.Address {
 		return
 	}
@@ -89,19 +89,19 @@
 	t.weigh(now, e)
 }
 
-// Unlink notes that the last link to a member has ended: it vouches for nobody any more.
-func (t *Table) Unlink(now time.Time, address string) {
+// LinkDown notes that the last link to a member has ended: it vouches for nobody any more.
+func (t *Table) LinkDown(now time.Time, address string) {
 	t.hold(now, address)
-	t.Fail(now, address)
+	t.LinkFailed(now, address)
 	if e := t.members[address]; e != nil {
 		e.linked = false
 		t.weigh(now, e)
 	}
 }
 
-// Fail notes that no link to a member could be made: until somebody vouches for it anew it
+// LinkFailed notes that no link to a member could be made: until somebody vouches for it anew it
 // isn't taken for a hub.
-func (t *Table) Fail(now time.Time, address string) {
+func (t *Table) LinkFailed(now time.Time, address string) {
 	if e := t.members[address]; e != nil {
 		e.failed = now
 	}
@@ -112,7 +112,7 @@
 func (t *Table) hold(now time.Time, peer string) {
 	s := t.sources[peer]
 	e := t.members[peer]
-	if s == nil || s.kind != Reached || e == nil || e.Zone != t.self.Zone || t.reachedSources() > 1 {
+	if s == nil || s.kind != Indirect || e == nil || e.Zone != t.self.Zone || t.reachedSources() > 1 {
 		t.drop(now, peer)
 		return
 	}
@@ -122,7 +122,7 @@
 
 func (t *Table) reachedSources() (n int) {
 	for _, s := range t.sources {
-		if s.kind == Reached {
+		if s.kind == Indirect {
 			n++
 		}
 	}
@@ -158,10 +158,10 @@
 	}
 }
 
-// Hear takes what a peer tells.
-func (t *Table) Hear(now time.Time, from string, told *Telling) {
-	if told.Kind == Introduced {
-		t.meet(now, told.News)
+// Merge takes what a peer tells.
+func (t *Table) Merge(now time.Time, from string, told *Update) {
+	if told.Kind == Bootstrap {
+		t.meet(now, told.Records)
 		return
 	}
 	s := t.sources[from]
@@ -170,17 +170,17 @@
 		s = &source{kind: told.Kind, alive: map[string]uint64{}}
 		t.sources[from] = s
 	}
-	defer t.release(now, told.Kind == Reached)
-	for i := range told.News {
-		t.hearOne(now, s, &told.News[i])
+	defer t.release(now, told.Kind == Indirect)
+	for i := range told.Records {
+		t.hearOne(now, s, &told.Records[i])
 	}
 }
 
-func (t *Table) hearOne(now time.Time, s *source, n *News) {
+func (t *Table) hearOne(now time.Time, s *source, n *Record) {
 	if n.Address == "" || n.Address == t.self.Address {
 		return
 	}
-	if n.Gone {
+	if n.Removed {
 		delete(s.alive, n.Address)
 		if e := t.members[n.Address]; e != nil {
 			t.weigh(now, e)
@@ -201,10 +201,10 @@
 }
 
 // meet takes introductions.
-func (t *Table) meet(now time.Time, news []News) {
+func (t *Table) meet(now time.Time, news []Record) {
 	for i := range news {
 		n := &news[i]
-		if n.Address == "" || n.Address == t.self.Address || n.Gone {
+		if n.Address == "" || n.Address == t.self.Address || n.Removed {
 			continue
 		}
 		e := t.entry(n.Address)
@@ -217,7 +217,7 @@
 
 // heard returns the member that news is of. What an instance itself says of draining goes
 // before what others say.
-func (t *Table) heard(now time.Time, e *entry, n *News) Member {
+func (t *Table) heard(now time.Time, e *entry, n *Record) Member {
 	m := n.member(now)
 	if e.linked && e.Incarnation == m.Incarnation {
 		m.Draining = e.Draining
@@ -242,7 +242,7 @@
 	for _, s := range t.sources {
 		if incarnation, told := s.alive[e.Address]; told && incarnation == e.Incarnation {
 			e.alive = true
-			e.reached = e.reached || s.kind == Linked
+			e.reached = e.reached || s.kind == Direct
 		}
 	}
 	if was || e.alive {
@@ -270,8 +270,8 @@
 	return e.alive || hoped
 }
 
-// InReach tells whether a member is known to be within reach.
-func (t *Table) InReach(now time.Time, address string) bool {
+// Reachable tells whether a member is known to be within reach.
+func (t *Table) Reachable(now time.Time, address string) bool {
 	e := t.members[address]
 	return e != nil && t.inReach(now, e)
 }
@@ -280,7 +280,7 @@
 func (t *Table) Members(now time.Time) []Status {
 	out := make([]Status, 0, len(t.members))
 	for _, e := range t.members {
-		out = append(out, Status{Member: e.Member, InReach: t.inReach(now, e)})
+		out = append(out, Status{Member: e.Member, Reachable: t.inReach(now, e)})
 	}
 	return out
 }
@@ -298,17 +298,17 @@
 	}
 }
 
-// Tell returns what is to be told in a telling of a kind beyond what was told at a change
+// UpdateSince returns what is to be told in a telling of a kind beyond what was told at a change
 // before, 0 for the first, and the change up to which it tells.
-func (t *Table) Tell(now time.Time, k Kind, since uint64) (*Telling, uint64) {
-	told := &Telling{Kind: k, Full: since == 0}
-	if k == Nothing || since == t.change {
+func (t *Table) UpdateSince(now time.Time, k Kind, since uint64) (*Update, uint64) {
+	told := &Update{Kind: k, Full: since == 0}
+	if k == None || since == t.change {
 		return told, t.change
 	}
 	for _, e := range t.members {
 		gone := !t.tells(now, k, e)
 		if e.changed > since && (!gone || since > 0) {
-			told.News = append(told.News, e.news(now, gone))
+			told.Records = append(told.Records, e.news(now, gone))
 		}
 	}
 	return told, t.change
@@ -317,9 +317,9 @@
 // tells tells whether a member belongs in a telling of a kind.
 func (t *Table) tells(now time.Time, k Kind, e *entry) bool {
 	switch k {
-	case Linked:
+	case Direct:
 		return e.linked && e.Zone == t.self.Zone
-	case Reached:
+	case Indirect:
 		return e.reached
 	default:
 		return e.alive
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -109,7 +109,7 @@
 	QuotaReply   *QuotaReply   `cbor:"20,keyasint,omitempty"`
 	QuotaReturn  *QuotaReturn  `cbor:"21,keyasint,omitempty"`
 
-	Membership *membership.Telling `cbor:"22,keyasint,omitempty"`
+	Membership *membership.Update `cbor:"22,keyasint,omitempty"`
 }
 
 // Hello names the sender.
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -10,7 +10,7 @@
 // known is the number of peers that are known. The caller holds the lock.
 func (m *Mesh) known() int {
 	if m.sparse != nil {
-		return m.sparse.plan.Known()
+		return m.sparse.plan.KnownCount()
 	}
 	return len(m.peers)
 }
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -95,13 +95,13 @@
 	defer m.mu.Unlock()
 	plan := m.sparse.plan
 	wanted := map[string]bool{}
-	for _, address := range plan.Wants(now) {
+	for _, address := range plan.WantedLinks(now) {
 		wanted[address] = true
 		m.dialSoon(now, address)
 	}
 	if now.Sub(m.sparse.probed) >= probeInterval {
 		m.sparse.probed = now
-		if address, some := plan.Probe(now); some {
+		if address, some := plan.ReconnectCandidate(now); some {
 			m.dialSoon(now, address)
 		}
 	}
@@ -117,7 +117,7 @@
 	if !unused {
 		return
 	}
-	if p.link != nil && p.link.isIdle(now, unusedAfter) && m.sparse.plan.KindFor(now, address) == membership.Nothing {
+	if p.link != nil && p.link.isIdle(now, unusedAfter) && m.sparse.plan.KindFor(now, address) == membership.None {
 		p.link.cancel(errUnused)
 	}
 	if p.link == nil && m.accepted[address] == nil && p.tended.dialled == nil {
@@ -156,7 +156,7 @@
 	if up {
 		t.pause.Reset()
 	} else {
-		m.sparse.plan.Fail(boottime.Now(), address)
+		m.sparse.plan.LinkFailed(boottime.Now(), address)
 	}
 	t.next = boottime.Now().Add(t.pause.NextBackOff())
 	if t.dialled == ended {
@@ -170,7 +170,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[address]; p != nil && p.tended.dialled == dial {
-		m.sparse.plan.Fail(boottime.Now(), address)
+		m.sparse.plan.LinkFailed(boottime.Now(), address)
 	}
 }
 
@@ -186,7 +186,7 @@
 func (m *Mesh) linkedTo(p *peerState) {
 	now := boottime.Now()
 	h := p.hello
-	m.sparse.plan.Link(now, membership.Member{Address: h.Address, Zone: h.Zone, Incarnation: h.Incarnation, Cores: h.Cores, Started: p.started})
+	m.sparse.plan.LinkUp(now, membership.Member{Address: h.Address, Zone: h.Zone, Incarnation: h.Incarnation, Cores: h.Cores, Started: p.started})
 	if p.link != nil {
 		p.tended.settle()
 	}
@@ -201,7 +201,7 @@
 	if p == nil || m.liveLink(address, p) != nil {
 		return
 	}
-	m.sparse.plan.Unlink(boottime.Now(), address)
+	m.sparse.plan.LinkDown(boottime.Now(), address)
 	m.sparse.kick()
 }
 
@@ -304,7 +304,7 @@
 			Zone:        k.Zone,
 			Incarnation: k.Incarnation,
 			Draining:    k.Draining,
-			Reachable:   k.InReach,
+			Reachable:   k.Reachable,
 			Cores:       k.Cores,
 			Started:     boottime.Steady(k.Started),
 		}
@@ -329,7 +329,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.sparse.plan.Change()
+	return m.sparse.plan.ChangeCount()
 }
 
 // Role of an instance in a fleet with few links.
--- a/internal/peer/sparse_test.go
+++ b/internal/peer/sparse_test.go
@@ -231,7 +231,7 @@
 	for incarnation := range uint64(3) {
 		now := time.Now()
 		a.mu.Lock()
-		a.sparse.plan.Link(now, membership.Member{Address: "10.0.0.7:1", Zone: "merkato", Incarnation: incarnation + 1, Started: now})
+		a.sparse.plan.LinkUp(now, membership.Member{Address: "10.0.0.7:1", Zone: "merkato", Incarnation: incarnation + 1, Started: now})
 		a.mu.Unlock()
 		is.Equal(a.Incarnation("10.0.0.7:1"), incarnation+1)
 		is.Equal(a.Zone("10.0.0.7:1"), "merkato")
@@ -241,8 +241,8 @@
 // What a telling holds comes through a frame.
 func TestATellingPassesAFrame(t *testing.T) {
 	is := is.New(t)
-	told := &membership.Telling{Kind: membership.Reached, Full: true, News: []membership.News{
-		{Address: "10.0.0.7:1", Zone: "bole", Incarnation: 5, Cores: 0.4, Age: time.Second, Draining: true}, {Address: "10.0.0.8:1", Gone: true},
+	told := &membership.Update{Kind: membership.Indirect, Full: true, Records: []membership.Record{
+		{Address: "10.0.0.7:1", Zone: "bole", Incarnation: 5, Cores: 0.4, Age: time.Second, Draining: true}, {Address: "10.0.0.8:1", Removed: true},
 	}}
 	b, err := Encode(&Frame{Type: TypeMembership, Membership: told})
 	is.NoErr(err)
--- a/internal/peer/telling.go
+++ b/internal/peer/telling.go
@@ -9,13 +9,13 @@
 )
 
 // learnMembers takes what a peer tells of others.
-func (m *Mesh) learnMembers(from string, told *membership.Telling) {
+func (m *Mesh) learnMembers(from string, told *membership.Update) {
 	if m.sparse == nil || from == "" {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sparse.plan.Hear(boottime.Now(), from, told)
+	m.sparse.plan.Merge(boottime.Now(), from, told)
 	m.sparse.kick()
 }
 
@@ -24,7 +24,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	plan := m.sparse.plan
-	plan.Drain(m.sparse.drains)
+	plan.SetSelfDraining(m.sparse.drains)
 	plan.Tick(now)
 	encoded := map[toldUpTo][]byte{}
 	for address, p := range m.peers {
@@ -38,24 +38,24 @@
 func (m *Mesh) tellMembers(now time.Time, address string, p *peerState, l *link, encoded map[toldUpTo][]byte) {
 	plan, t := m.sparse.plan, &p.tended
 	if t.link != l {
-		t.link, t.told, t.introduced = l, toldUpTo{}, toldUpTo{kind: membership.Introduced}
+		t.link, t.told, t.introduced = l, toldUpTo{}, toldUpTo{kind: membership.Bootstrap}
 	}
 	kind := plan.KindFor(now, address)
 	if t.told.kind != kind {
 		t.told = toldUpTo{kind: kind}
 		m.tellOn(now, l, &t.told, encoded)
-	} else if kind != membership.Nothing {
+	} else if kind != membership.None {
 		m.tellOn(now, l, &t.told, encoded)
 	}
 	dialledBy := m.accepted[address] != nil
-	if dialledBy && plan.Introduces(now, address, max(p.hello.Known, p.last.Known)) {
+	if dialledBy && plan.SendsBootstrap(now, address, max(p.hello.Known, p.last.Known)) {
 		m.tellOn(now, l, &t.introduced, encoded)
 	}
 }
 
 // tellOn sends on a link what has changed beyond what was told. The caller holds the lock.
 func (m *Mesh) tellOn(now time.Time, l *link, told *toldUpTo, encoded map[toldUpTo][]byte) {
-	change := m.sparse.plan.Change()
+	change := m.sparse.plan.ChangeCount()
 	if told.change == change && change > 0 {
 		return
 	}
@@ -72,8 +72,8 @@
 // encodeMembers returns the frame of a telling, nil where nothing is to be told. The caller
 // holds the lock.
 func (m *Mesh) encodeMembers(now time.Time, key toldUpTo) []byte {
-	told, _ := m.sparse.plan.Tell(now, key.kind, key.change)
-	if len(told.News) == 0 && !told.Full {
+	told, _ := m.sparse.plan.UpdateSince(now, key.kind, key.change)
+	if len(told.Records) == 0 && !told.Full {
 		return nil
 	}
 	b, err := Encode(&Frame{Type: TypeMembership, Membership: told})
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -140,14 +140,14 @@
 		Arrived:      j.arrived,
 		Deadline:     j.deadline,
 		Patience:     j.patience(exclude != ""),
-		Aim:          j.route.Target,
+		Aim:          j.route.LatencyObjective,
 		LateIsWorth:  true,
 		Prompt:       j.call.Prompt,
 		Output:       j.call.Output,
 		Expected:     j.call.Expected,
 		Bytes:        len(j.body),
 		Exclude:      exclude,
-		Homes:        scheduler.Homes(routing.HomesOf(j.route, j.organisation)),
+		Homes:        scheduler.Homes(routing.RegionConstraintOf(j.route, j.organisation)),
 	}
 }
 
@@ -155,10 +155,10 @@
 // at an upstream already waits until its deadline: that took its time, and refusing it
 // now may promise too much.
 func (j *job) patience(again bool) time.Duration {
-	if again || j.route.Target == 0 {
+	if again || j.route.LatencyObjective == 0 {
 		return 0
 	}
-	return time.Duration(patienceShare * float64(j.route.Target))
+	return time.Duration(patienceShare * float64(j.route.LatencyObjective))
 }
 
 // again decides whether the request may be sent once more, and why.
@@ -172,7 +172,7 @@
 	case notRun, misdirected:
 		return api.RetryUpstreamBusy, followedIf(j.mayGoOn(), repeats)
 	case failed:
-		return api.RetryUpstreamFailed, followedIf(j.route.MayRepeat() && j.mayGoOn(), repeats)
+		return api.RetryUpstreamFailed, followedIf(j.route.MayRetry() && j.mayGoOn(), repeats)
 	case lost, garbage, cut:
 		reason := api.RetryUpstreamLost
 		if errors.Is(r.err, errSilent) {
@@ -180,7 +180,7 @@
 		} else if r.status == cut {
 			reason = api.RetryResume
 		}
-		return reason, followedIf(j.route.MayRepeat() && j.mayGoOn(), repeats)
+		return reason, followedIf(j.route.MayRetry() && j.mayGoOn(), repeats)
 	default:
 		return "", isLast
 	}
@@ -228,7 +228,7 @@
 // outputTokens is how many tokens the last answer had, as far as its events tell.
 func (j *job) outputTokens() int {
 	if service := j.table.Service(j.service); service != nil {
-		return j.events * service.EventTokens
+		return j.events * service.TokensPerEvent
 	}
 	return 0
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -139,7 +139,7 @@
 	if problem := j.authorise(); problem != nil {
 		return problem
 	}
-	j.service = j.route.Choose(rand.Float64())
+	j.service = j.route.ChooseService(rand.Float64())
 	j.header = j.handler.o.Protocol.Forward(j.http.Header)
 	j.deadline = j.arrived.Add(j.timeout() - answerMargin)
 	if problem := j.readBody(); problem != nil {
@@ -199,10 +199,10 @@
 	if j.route.Public {
 		return nil
 	}
-	if !j.handler.o.View.Fresh(j.age) {
+	if !j.handler.o.View.IsUsable(j.age) {
 		return j.stale("keys may have been taken away since")
 	}
-	j.organisation = j.table.Holder(j.call.Key)
+	j.organisation = j.table.OrganisationByKey(j.call.Key)
 	if j.organisation != nil {
 		return nil
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -193,7 +193,7 @@
 // bounds the wait.
 func TestARequestThatCouldNotBeSentGoesElsewhereHoweverLongThatTook(t *testing.T) {
 	is := is.New(t)
-	j := job{route: &routing.Route{Target: time.Second}}
+	j := job{route: &routing.Route{LatencyObjective: time.Second}}
 	is.Equal(j.schedulerRequest("").Patience, time.Duration(patienceShare*float64(time.Second)))
 	is.Equal(j.schedulerRequest("a").Patience, time.Duration(0)) // none but the deadline
 	r := newRig(t)
@@ -314,7 +314,7 @@
 	is := is.New(t)
 	r := newRig(t)
 	for i := range r.document.Routes {
-		r.document.Routes[i].Target = 20 * time.Millisecond
+		r.document.Routes[i].LatencyObjective = 20 * time.Millisecond
 	}
 	r.publish(0)
 	left := make(chan struct{})
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -118,13 +118,13 @@
 }
 
 func (j *job) watchSilence(l fleet.Lease, cancel context.CancelCauseFunc) silence {
-	if !j.route.MayRepeat() || j.attempts+1 >= j.route.MaxAttempts || j.route.Target == 0 {
+	if !j.route.MayRetry() || j.attempts+1 >= j.route.MaxAttempts || j.route.LatencyObjective == 0 {
 		return silence{}
 	}
-	first := max(time.Duration(silenceFactor*float64(j.route.Target)), predictedFactor*l.Predicted())
+	first := max(time.Duration(silenceFactor*float64(j.route.LatencyObjective)), predictedFactor*l.Predicted())
 	return silence{
 		timer: time.AfterFunc(first, func() { cancel(errSilent) }),
-		pause: pauseFactor * j.route.MaxPause,
+		pause: pauseFactor * j.route.MaxEventInterval,
 	}
 }
 
@@ -316,7 +316,7 @@
 // mayBeMended tells whether an answer is a failure of the upstream's own, and the request
 // may be had at another one.
 func (j *job) mayBeMended(a *heldAnswer) bool {
-	return a.status >= http.StatusInternalServerError && j.route.MayRepeat() && j.mayGoOn()
+	return a.status >= http.StatusInternalServerError && j.route.MayRetry() && j.mayGoOn()
 }
 
 // passOn passes a whole answer on.
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -100,8 +100,8 @@
 // documents is a source whose contents are documents in CBOR.
 type documents struct{}
 
-func (documents) Entry(_ context.Context, id string) (view.Change, error) {
-	return view.Change{Gone: true, Upstream: view.Upstream{ID: id}}, nil
+func (documents) ReadEntry(_ context.Context, id string) (view.Change, error) {
+	return view.Change{Removed: true, Upstream: view.Upstream{ID: id}}, nil
 }
 func (documents) Run(ctx context.Context, _ view.Sink) { <-ctx.Done() }
 
@@ -139,7 +139,7 @@
 	route := func(name string, kind routing.Kind) routing.Route {
 		return routing.Route{
 			Name: name, Host: "h.example", Prefix: "/" + name + "/", Kind: kind, Timeout: 20 * time.Second,
-			Target: 5 * time.Second, MaxPause: 5 * time.Second, MaxAttempts: 2, Split: []routing.Share{{Service: "s", Weight: 1}},
+			LatencyObjective: 5 * time.Second, MaxEventInterval: 5 * time.Second, MaxAttempts: 2, Services: []routing.WeightedService{{Service: "s", Weight: 1}},
 		}
 	}
 	r.document = routing.Document{
@@ -165,7 +165,7 @@
 		Metrics:        metrics,
 		Log:            log,
 	})
-	r.view = view.New(view.Options{Source: documents{}, Lease: leaseTime, Settle: time.Second, OnUpstreams: r.fleet.ChangeUpstreams, Metrics: metrics, Log: log})
+	r.view = view.New(view.Options{Source: documents{}, Lease: leaseTime, SettlePeriod: time.Second, OnUpstreams: r.fleet.ChangeUpstreams, Metrics: metrics, Log: log})
 	r.handler = New(Options{
 		View: r.view, Fleet: r.fleet, Protocol: plain{}, Quotas: fleet.NewQuotas(time.Now().Add(-time.Hour), fleet.Allowance{}, r.fleet),
 		Quarantine: r.book, Announce: func() {},
@@ -186,8 +186,8 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.view.Evacuations(nil, 1)
-	r.view.Configuration(r.document.Version, content, time.Now().Add(-age))
+	r.view.SetEvacuations(nil, 1)
+	r.view.SetConfiguration(r.document.Version, content, time.Now().Add(-age))
 }
 
 // upstream adds an upstream that answers by f. The first one added is chosen first.
@@ -222,7 +222,7 @@
 		r.revision = max(r.revision, u.Revision)
 	}
 	r.revision++
-	r.view.Upstreams(r.upstreams, r.revision, time.Now())
+	r.view.SetUpstreams(r.upstreams, r.revision, time.Now())
 }
 
 // arrived returns the IDs of the upstreams that were sent something, in order.
--- a/internal/routing/build.go
+++ b/internal/routing/build.go
@@ -62,7 +62,7 @@
 		b.fault("service %s is declared twice", s.Name)
 		return
 	}
-	if s.ColdStart < 0 || s.ColdPerSecond < 0 {
+	if s.ColdStart < 0 || s.ColdStartRate < 0 {
 		b.fault("service %s has a negative cold start", s.Name)
 		return
 	}
@@ -84,7 +84,7 @@
 	case r.Rank < 0:
 		b.fault("route %s has a negative priority", r.Name)
 	case b.splits(r):
-		r.Host = NormalHost(r.Host)
+		r.Host = NormaliseHost(r.Host)
 		b.table.byHost[r.Host] = append(b.table.byHost[r.Host], r)
 		b.table.routes++
 	}
@@ -93,7 +93,7 @@
 // splits checks where a route's requests go.
 func (b *builder) splits(r *Route) bool {
 	total := 0
-	for _, s := range r.Split {
+	for _, s := range r.Services {
 		if b.table.services[s.Service] == nil {
 			b.fault("route %s names service %q, which isn't declared", r.Name, s.Service)
 			return false
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -52,51 +52,51 @@
 	Resumable bool
 	// Timeout bounds the whole answer.
 	Timeout time.Duration
-	// Target is the latency objective of the answer, of a stream's first event.
-	Target time.Duration
-	// MaxPause is the longest pause between two events that is still in time; 0
+	// LatencyObjective is the latency objective of the answer, of a stream's first event.
+	LatencyObjective time.Duration
+	// MaxEventInterval is the longest pause between two events that is still in time; 0
 	// where the route has none.
-	MaxPause time.Duration
+	MaxEventInterval time.Duration
 	// Rank of its requests; 0 is the most important.
 	Rank int
 	// MaxAttempts is how many upstreams one request may be sent to.
 	MaxAttempts int
 	// Public routes need no API key.
 	Public bool
-	// Split of its requests over services, by weight.
-	Split []Share
-	// Homes are the regions in which its requests may run; none allows all.
-	Homes []string
+	// Services of its requests over services, by weight.
+	Services []WeightedService
+	// AllowedRegions are the regions in which its requests may run; none allows all.
+	AllowedRegions []string
 }
 
-// MayRepeat tells whether a request that may have run may be sent again.
-func (r *Route) MayRepeat() bool {
+// MayRetry tells whether a request that may have run may be sent again.
+func (r *Route) MayRetry() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Homes is where requests of an organisation on a route may run: both bind where both have homes.
-type Homes struct {
+// RegionConstraint is where requests of an organisation on a route may run: both bind where both have homes.
+type RegionConstraint struct {
 	// Bound tells whether Regions alone may run them; else all may.
 	Bound   bool
 	Regions []string
 }
 
-// HomesOf returns where requests of an organisation on a route may run; the organisation may be nil.
-func HomesOf(r *Route, o *Organisation) Homes {
-	regions := r.Homes
+// RegionConstraintOf returns where requests of an organisation on a route may run; the organisation may be nil.
+func RegionConstraintOf(r *Route, o *Organisation) RegionConstraint {
+	regions := r.AllowedRegions
 	switch {
-	case o == nil || len(o.Homes) == 0:
+	case o == nil || len(o.AllowedRegions) == 0:
 	case len(regions) == 0:
-		regions = o.Homes
+		regions = o.AllowedRegions
 	default:
-		regions = slices.DeleteFunc(slices.Clone(regions), func(home string) bool { return !slices.Contains(o.Homes, home) })
-		return Homes{Bound: true, Regions: regions}
+		regions = slices.DeleteFunc(slices.Clone(regions), func(home string) bool { return !slices.Contains(o.AllowedRegions, home) })
+		return RegionConstraint{Bound: true, Regions: regions}
 	}
-	return Homes{Bound: len(regions) > 0, Regions: regions}
+	return RegionConstraint{Bound: len(regions) > 0, Regions: regions}
 }
 
-// Share is a part of a route's requests.
-type Share struct {
+// WeightedService is a part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -115,20 +115,20 @@
 	DefaultTokens int
 	// CountsRequests limits requests instead of tokens: each counts one.
 	CountsRequests bool
-	// Homes are the regions in which its requests may run; none allows all.
-	Homes []string
+	// AllowedRegions are the regions in which its requests may run; none allows all.
+	AllowedRegions []string
 }
 
 // Service is a set of upstreams that requests are sent to.
 type Service struct {
 	Name string
-	// EventTokens is how many tokens one event of an engine's stream holds; 0 where
+	// TokensPerEvent is how many tokens one event of an engine's stream holds; 0 where
 	// events don't tell.
-	EventTokens int
+	TokensPerEvent int
 	// ColdStart is how long an upstream is cold after its start; 0 where it never is.
 	ColdStart time.Duration
-	// ColdPerSecond is how many requests a second a cold one bears; it crashes well beyond.
-	ColdPerSecond float64
+	// ColdStartRate is how many requests a second a cold one bears; it crashes well beyond.
+	ColdStartRate float64
 }
 
 // Limits bound what callers may send.
@@ -160,7 +160,7 @@
 // Match returns the route of a request, the one with the longest prefix, or nil.
 // Path is as the caller wrote it, without the query.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.byHost[NormalHost(host)] {
+	for _, r := range t.byHost[NormaliseHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -168,16 +168,16 @@
 	return nil
 }
 
-// NormalHost returns a host as routes name it: without a port, in lower case.
-func NormalHost(host string) string {
+// NormaliseHost returns a host as routes name it: without a port, in lower case.
+func NormaliseHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
 	}
 	return strings.ToLower(host)
 }
 
-// Holder returns the organisation that an API key belongs to, or nil.
-func (t *Table) Holder(key string) *Organisation { return t.holders[key] }
+// OrganisationByKey returns the organisation that an API key belongs to, or nil.
+func (t *Table) OrganisationByKey(key string) *Organisation { return t.holders[key] }
 
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
@@ -188,18 +188,18 @@
 // Routes returns how many routes there are.
 func (t *Table) Routes() int { return t.routes }
 
-// Choose returns the service of a request. Draw is uniform in [0, 1).
-func (r *Route) Choose(draw float64) string {
+// ChooseService returns the service of a request. Draw is uniform in [0, 1).
+func (r *Route) ChooseService(draw float64) string {
 	total := 0
-	for _, s := range r.Split {
+	for _, s := range r.Services {
 		total += s.Weight
 	}
 	at := draw * float64(total)
-	for _, s := range r.Split {
+	for _, s := range r.Services {
 		at -= float64(s.Weight)
 		if at < 0 {
 			return s.Service
 		}
 	}
-	return r.Split[len(r.Split)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,7 +11,7 @@
 
 func document() *Document {
 	route := func(name, host, prefix string, kind Kind) Route {
-		return Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: time.Second, MaxAttempts: 2, Split: []Share{{Service: "desk", Weight: 1}}}
+		return Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: time.Second, MaxAttempts: 2, Services: []WeightedService{{Service: "desk", Weight: 1}}}
 	}
 	return &Document{
 		Version:       4,
@@ -50,26 +50,26 @@
 	is := is.New(t)
 	table, err := Build(document())
 	is.NoErr(err)
-	is.Equal(table.Holder("k2").Name, "crews")
-	is.True(table.Holder("k3") == nil)
-	is.True(table.Holder("") == nil)
+	is.Equal(table.OrganisationByKey("k2").Name, "crews")
+	is.True(table.OrganisationByKey("k3") == nil)
+	is.True(table.OrganisationByKey("") == nil)
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
 	is := is.New(t)
-	r := Route{Split: []Share{{"desk", 90}, {"app", 10}, {"idle", 0}}}
-	is.Equal(r.Choose(0), "desk")
-	is.Equal(r.Choose(0.89), "desk")
-	is.Equal(r.Choose(0.91), "app")
-	is.Equal(r.Choose(0.9999), "app")
+	r := Route{Services: []WeightedService{{"desk", 90}, {"app", 10}, {"idle", 0}}}
+	is.Equal(r.ChooseService(0), "desk")
+	is.Equal(r.ChooseService(0.89), "desk")
+	is.Equal(r.ChooseService(0.91), "app")
+	is.Equal(r.ChooseService(0.9999), "app")
 }
 
 func TestOnlyRepeatableKindsMayRepeat(t *testing.T) {
 	is := is.New(t)
-	is.True((&Route{Kind: Idempotent}).MayRepeat())
-	is.True((&Route{Kind: Stream, Resumable: true}).MayRepeat())
-	is.True(!(&Route{Kind: Stream}).MayRepeat())
-	is.True(!(&Route{Kind: NonIdempotent, Resumable: true}).MayRepeat())
+	is.True((&Route{Kind: Idempotent}).MayRetry())
+	is.True((&Route{Kind: Stream, Resumable: true}).MayRetry())
+	is.True(!(&Route{Kind: Stream}).MayRetry())
+	is.True(!(&Route{Kind: NonIdempotent, Resumable: true}).MayRetry())
 }
 
 func TestSenselessDocumentsAreRefusedWithTheFault(t *testing.T) {
@@ -78,9 +78,9 @@
 		fault string
 	}{
 		"prefix without slash": {func(d *Document) { d.Routes[0].Prefix = "x/" }, "must begin and end"},
-		"unknown service":      {func(d *Document) { d.Routes[0].Split[0].Service = "gone" }, `"gone", which isn't declared`},
-		"no service":           {func(d *Document) { d.Routes[0].Split = nil }, "goes to no service"},
-		"weights of nothing":   {func(d *Document) { d.Routes[0].Split[0].Weight = 0 }, "goes to no service"},
+		"unknown service":      {func(d *Document) { d.Routes[0].Services[0].Service = "gone" }, `"gone", which isn't declared`},
+		"no service":           {func(d *Document) { d.Routes[0].Services = nil }, "goes to no service"},
+		"weights of nothing":   {func(d *Document) { d.Routes[0].Services[0].Weight = 0 }, "goes to no service"},
 		"no timeout":           {func(d *Document) { d.Routes[0].Timeout = 0 }, "timeout above 0"},
 		"no attempts":          {func(d *Document) { d.Routes[0].MaxAttempts = 0 }, "at least one attempt"},
 		"unknown kind":         {func(d *Document) { d.Routes[0].Kind = 9 }, "unknown kind"},
@@ -107,18 +107,18 @@
 func TestHomesOfRouteAndOrganisationBothBind(t *testing.T) {
 	for name, c := range map[string]struct {
 		route, organisation []string
-		want                Homes
+		want                RegionConstraint
 	}{
-		"none":              {nil, nil, Homes{}},
-		"of the route":      {[]string{"a"}, nil, Homes{Bound: true, Regions: []string{"a"}}},
-		"of the other":      {nil, []string{"b"}, Homes{Bound: true, Regions: []string{"b"}}},
-		"of both":           {[]string{"a", "b"}, []string{"b", "c"}, Homes{Bound: true, Regions: []string{"b"}}},
-		"of both, no match": {[]string{"a"}, []string{"b"}, Homes{Bound: true, Regions: []string{}}},
+		"none":              {nil, nil, RegionConstraint{}},
+		"of the route":      {[]string{"a"}, nil, RegionConstraint{Bound: true, Regions: []string{"a"}}},
+		"of the other":      {nil, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
+		"of both":           {[]string{"a", "b"}, []string{"b", "c"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
+		"of both, no match": {[]string{"a"}, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(HomesOf(&Route{Homes: c.route}, &Organisation{Homes: c.organisation}), c.want)
+			is.Equal(RegionConstraintOf(&Route{AllowedRegions: c.route}, &Organisation{AllowedRegions: c.organisation}), c.want)
 		})
 	}
-	is.New(t).Equal(HomesOf(&Route{Homes: []string{"a"}}, nil), Homes{Bound: true, Regions: []string{"a"}}) // public
+	is.New(t).Equal(RegionConstraintOf(&Route{AllowedRegions: []string{"a"}}, nil), RegionConstraint{Bound: true, Regions: []string{"a"}}) // public
 }
--- a/internal/view/bench_test.go
+++ b/internal/view/bench_test.go
@@ -16,12 +16,12 @@
 				list[i] = Upstream{ID: fmt.Sprintf("i-%010x", i), Revision: int64(i + 1), Slots: 8}
 			}
 			revision := int64(upstreams)
-			v.Upstreams(list, revision, time.Now())
+			v.SetUpstreams(list, revision, time.Now())
 			u := list[0]
 			for b.Loop() {
 				revision++
 				u.Revision, u.Leaving = revision, !u.Leaving
-				v.Changes([]Change{{Upstream: u}}, revision, time.Now())
+				v.ApplyChanges([]Change{{Upstream: u}}, revision, time.Now())
 			}
 		})
 	}
--- a/internal/view/changes.go
+++ b/internal/view/changes.go
@@ -18,8 +18,8 @@
 	Version int64
 	// Changed upstreams are new on the list, or something is said of them that wasn't before.
 	Changed []Upstream
-	// Gone are the IDs of those that aren't on the list any more.
-	Gone []string
+	// Removed are the IDs of those that aren't on the list any more.
+	Removed []string
 }
 
 // state is what a list says of one upstream, as logs show it.
@@ -72,7 +72,7 @@
 		}
 		switch {
 		case before.listed && !listed:
-			c.Gone = append(c.Gone, id)
+			c.Removed = append(c.Removed, id)
 		case listed && (!before.listed || cold || !u.says(before.entry)):
 			u.Cold = r.coldFor(now, id)
 			c.Changed = append(c.Changed, u)
@@ -82,7 +82,7 @@
 		r.touched = map[string]*former{}
 	}
 	slices.SortFunc(c.Changed, func(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) })
-	slices.Sort(c.Gone)
+	slices.Sort(c.Removed)
 	return c, inWords(named)
 }
 
--- a/internal/view/departures.go
+++ b/internal/view/departures.go
@@ -47,7 +47,7 @@
 	if !gone || now.Sub(known.at) >= departedFor {
 		return false
 	}
-	if EraOf(u.Revision) > known.era {
+	if EpochOf(u.Revision) > known.era {
 		return !known.last.writtenBefore(u)
 	}
 	return known.isLast && (u.Revision <= known.last.Revision || u.writtenBefore(known.last))
--- a/internal/view/doubt.go
+++ b/internal/view/doubt.go
@@ -10,10 +10,10 @@
 // day, and reads are bounded in number.
 const doubtEvery = time.Second
 
-// MayLeave is told of an upstream that may be leaving by its own word. Unless the list says so, its
+// RecheckUpstream is told of an upstream that may be leaving by its own word. Unless the list says so, its
 // entry is read: its own word comes with each answer, also where news of the list is held up.
 // It doesn't block.
-func (v *View) MayLeave(id string) {
+func (v *View) RecheckUpstream(id string) {
 	known, ask := v.beginDoubt(id)
 	if ask {
 		go v.readEntry(known)
@@ -43,15 +43,15 @@
 
 // readEntry reads what is published of an upstream, and takes it.
 func (v *View) readEntry(known Upstream) {
-	c, err := v.o.Source.Entry(context.Background(), known.ID)
+	c, err := v.o.Source.ReadEntry(context.Background(), known.ID)
 	if err != nil && !c.Unreadable {
 		v.o.Log.Warn().Str("event", "upstream_doubted").Str("upstream", known.ID).Str("cause", err.Error()).Msg("its entry couldn't be read")
 		return
 	}
 	if err != nil {
-		v.Malformed(err)
+		v.ReportMalformed(err)
 	}
 	v.o.Log.Info().Str("event", "upstream_doubted").Str("upstream", known.ID).Int64("revision", c.Upstream.Revision).
-		Bool("leaving", c.Upstream.Leaving).Bool("gone", c.Gone).Bool("unreadable", c.Unreadable).Msg("")
+		Bool("leaving", c.Upstream.Leaving).Bool("gone", c.Removed).Bool("unreadable", c.Unreadable).Msg("")
 	v.change("its own word", func(r *roster, now time.Time) { r.applyEntry(now, known, c) })
 }
--- a/internal/view/evacuations.go
+++ b/internal/view/evacuations.go
@@ -59,15 +59,15 @@
 	expiry    *time.Timer // nil until a zone was held
 }
 
-// Evacuations implements Sink: it takes all zones that are evacuated, as the source had them at a
+// SetEvacuations implements Sink: it takes all zones that are evacuated, as the source had them at a
 // revision.
-func (v *View) Evacuations(zones []string, revision int64) {
+func (v *View) SetEvacuations(zones []string, revision int64) {
 	v.learnEvacuations(Evacuations{Version: revision, Zones: zones}, "source")
 }
 
-// ZoneChanges implements Sink: it takes what has changed, in order, up to a revision. What is known
+// ApplyZoneChanges implements Sink: it takes what has changed, in order, up to a revision. What is known
 // at a later revision stays.
-func (v *View) ZoneChanges(changes []ZoneChange, complete int64) {
+func (v *View) ApplyZoneChanges(changes []ZoneChange, complete int64) {
 	v.mu.Lock()
 	e := &v.evacuations
 	if e.version == 0 || complete <= e.version {
@@ -83,7 +83,7 @@
 		if c.Evacuated {
 			zones = append(zones, c.Zone)
 		}
-		if EraOf(c.Revision) == EraOf(e.version) {
+		if EpochOf(c.Revision) == EpochOf(e.version) {
 			e.resolve(c.Zone)
 		}
 	}
@@ -91,11 +91,11 @@
 	v.learnEvacuations(Evacuations{Version: complete, Zones: zones}, "source")
 }
 
-// LearnEvacuations takes what a peer believes, if it is newer.
-func (v *View) LearnEvacuations(e Evacuations, peer string) { v.learnEvacuations(e, "peer "+peer) }
+// MergeEvacuations takes what a peer believes, if it is newer.
+func (v *View) MergeEvacuations(e Evacuations, peer string) { v.learnEvacuations(e, "peer "+peer) }
 
-// Evacuated returns what is believed. Zones are not to be changed.
-func (v *View) Evacuated() Evacuations {
+// CurrentEvacuations returns what is believed. Zones are not to be changed.
+func (v *View) CurrentEvacuations() Evacuations {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := &v.evacuations
@@ -172,15 +172,15 @@
 	published := told.published()
 	switch {
 	case told.Version > e.version:
-		if e.version > 0 && EraOf(told.Version) > EraOf(e.version) {
+		if e.version > 0 && EpochOf(told.Version) > EpochOf(e.version) {
 			e.enterEra(now)
 		}
 		e.version, e.published = told.Version, published
-	case EraOf(told.Version) < EraOf(e.version) && told.Version > e.before && now.Before(e.holdUntil):
+	case EpochOf(told.Version) < EpochOf(e.version) && told.Version > e.before && now.Before(e.holdUntil):
 		e.before = told.Version
 		e.hold(published, e.holdUntil)
 	}
-	if EraOf(told.Version) == EraOf(e.version) {
+	if EpochOf(told.Version) == EpochOf(e.version) {
 		for zone, left := range told.Held {
 			e.hold([]string{zone}, now.Add(min(left, restoredHold)))
 		}
--- a/internal/view/evacuations_test.go
+++ b/internal/view/evacuations_test.go
@@ -15,13 +15,13 @@
 	is := is.New(t)
 	v := newView(nil)
 	v.evacuations = evacuations{}
-	v.Configuration(7, []byte("seven"), time.Now())
+	v.SetConfiguration(7, []byte("seven"), time.Now())
 	is.Equal(inForce(v), "")
 	_, known := v.Age()
 	is.True(!known) // it isn't ready either
-	v.LearnEvacuations(Evacuations{Version: 9, Zones: []string{"bole"}}, "p")
+	v.MergeEvacuations(Evacuations{Version: 9, Zones: []string{"bole"}}, "p")
 	is.Equal(inForce(v), "seven")
-	is.Equal(v.Evacuated().Zones, []string{"bole"})
+	is.Equal(v.CurrentEvacuations().Zones, []string{"bole"})
 }
 
 // A watch that was begun before anything was known proves nothing of the zones that it doesn't name.
@@ -29,8 +29,8 @@
 	is := is.New(t)
 	v := newView(nil)
 	v.evacuations = evacuations{}
-	v.ZoneChanges([]ZoneChange{{Zone: "bole", Evacuated: true, Revision: 4}}, 4)
-	is.Equal(v.Evacuated().Version, int64(0))
+	v.ApplyZoneChanges([]ZoneChange{{Zone: "bole", Evacuated: true, Revision: 4}}, 4)
+	is.Equal(v.CurrentEvacuations().Version, int64(0))
 }
 
 // News of zones comes from reads, from a watch and from peers, late, twice and in any order. What is
@@ -59,21 +59,21 @@
 			heard := history[random.IntN(len(history))]
 			switch random.IntN(3) {
 			case 0:
-				v.Evacuations(slices.Clone(heard.Zones), heard.Version)
+				v.SetEvacuations(slices.Clone(heard.Zones), heard.Version)
 			case 1:
-				v.LearnEvacuations(heard, "p")
+				v.MergeEvacuations(heard, "p")
 			default: // the watch brings what comes next, in order
 				until := min(watched+1+random.IntN(3), len(changes))
 				if until == watched {
 					continue
 				}
 				heard = history[until]
-				v.ZoneChanges(changes[watched:until], heard.Version)
+				v.ApplyZoneChanges(changes[watched:until], heard.Version)
 				watched = until
 			}
 			highest = max(highest, heard.Version)
 			want := history[highest-1]
-			if got := v.Evacuated(); got.Version != want.Version || !slices.Equal(got.Zones, want.Zones) {
+			if got := v.CurrentEvacuations(); got.Version != want.Version || !slices.Equal(got.Zones, want.Zones) {
 				t.Fatalf("seed %d: %+v is believed, the source had %+v", seed, got, want)
 			}
 		}
@@ -91,7 +91,7 @@
 	r.replace(now.Add(time.Second), []Upstream{{ID: "a", Revision: 3, Cold: 3 * time.Second}}, 4) // read again
 	is.Equal(r.coldFor(now.Add(time.Second), "a"), 2*time.Second)
 	peer := newRoster(4 * time.Second)
-	peer.learn(now.Add(time.Second), r.handOver(now.Add(time.Second), Have{}))
+	peer.learn(now.Add(time.Second), r.handOver(now.Add(time.Second), KnownState{}))
 	is.Equal(peer.coldFor(now.Add(2*time.Second), "a"), time.Second)
 	r.apply(now.Add(2*time.Second), []Change{{Upstream: Upstream{ID: "a", Revision: 5}}}, 5)
 	is.Equal(r.coldFor(now.Add(2*time.Second), "a"), time.Duration(0)) // it is warm sooner than it said
--- a/internal/view/handover.go
+++ b/internal/view/handover.go
@@ -12,11 +12,11 @@
 	// Since is the version from which on Upstreams and Vanished are all that has changed; 0 where
 	// Upstreams is the whole list, or that of Parts.
 	Since int64
-	// Parts are those that Upstreams is the whole of; none where it is the whole list.
-	Parts     []int
+	// Chunks are those that Upstreams is the whole of; none where it is the whole list.
+	Chunks    []int
 	Upstreams []Upstream
-	// Vanished are the IDs of upstreams that have left the list since.
-	Vanished []string
+	// Removed are the IDs of upstreams that have left the list since.
+	Removed []string
 	// Missing are those of Upstreams that lapsed around an outage of the source, by ID, with the
 	// time in which they may still come back.
 	Missing map[string]time.Duration
@@ -24,26 +24,26 @@
 	Digest uint64
 }
 
-// Have is what an instance that asks for a list has.
-type Have struct {
+// KnownState is what an instance that asks for a list has.
+type KnownState struct {
 	// Version of its list, 0 without one.
 	Version int64
-	// Whole tells that it takes nothing but whole lists.
-	Whole bool
-	// Sums of its list, where that isn't like the one of a peer though it has the same version.
-	Sums []uint64
+	// WholeOnly tells that it takes nothing but whole lists.
+	WholeOnly bool
+	// Checksums of its list, where that isn't like the one of a peer though it has the same version.
+	Checksums []uint64
 }
 
 // handOver returns what a peer is to get, by what it has. One that has the list of this version gets none.
-func (r *roster) handOver(now time.Time, have Have) List {
+func (r *roster) handOver(now time.Time, have KnownState) List {
 	l := List{Version: r.version, AsOf: r.asOf, Digest: r.sums.listed.Digest()}
 	switch {
 	case have.Version > r.version:
-	case have.Version == r.version && len(have.Sums) > 0:
-		l.Parts = r.sums.listed.unlike(have.Sums)
-		l.Upstreams = r.those(now, func(u Upstream) bool { return isIn(l.Parts, u.ID) })
+	case have.Version == r.version && len(have.Checksums) > 0:
+		l.Chunks = r.sums.listed.unlike(have.Checksums)
+		l.Upstreams = r.those(now, func(u Upstream) bool { return isIn(l.Chunks, u.ID) })
 	case have.Version == r.version:
-	case have.Whole, have.Version == 0, have.Version < r.forgotten:
+	case have.WholeOnly, have.Version == 0, have.Version < r.forgotten:
 		l.Upstreams = r.list(now)
 	default:
 		l.Since = have.Version
@@ -69,7 +69,7 @@
 	for _, id := range r.changedSince(l.Since) {
 		u, listed := r.entries[id]
 		if !listed {
-			l.Vanished = append(l.Vanished, id)
+			l.Removed = append(l.Removed, id)
 			continue
 		}
 		u.Cold = r.coldFor(now, id)
@@ -105,10 +105,10 @@
 func (r *roster) isOfUse(l List) bool {
 	switch {
 	case l.Version == r.version:
-		return l.Parts != nil && r.unlike == r.version
+		return l.Chunks != nil && r.unlike == r.version
 	case l.Version < r.version:
 		return false
-	case l.Parts != nil:
+	case l.Chunks != nil:
 		return false // there was news meanwhile
 	default:
 		return l.Since <= r.version
@@ -118,10 +118,10 @@
 // learnVanished lets vanish what a peer's list lacks.
 func (r *roster) learnVanished(now time.Time, l List) {
 	if l.Since == 0 {
-		r.vanishOthers(now, l.Upstreams, l.Version, func(id string) bool { return l.Parts == nil || isIn(l.Parts, id) })
+		r.vanishOthers(now, l.Upstreams, l.Version, func(id string) bool { return l.Chunks == nil || isIn(l.Chunks, id) })
 		return
 	}
-	for _, id := range l.Vanished {
+	for _, id := range l.Removed {
 		if r.entries[id].Revision <= l.Version {
 			r.touch(now, id).news = true
 			r.vanish(now, id)
--- a/internal/view/handover_test.go
+++ b/internal/view/handover_test.go
@@ -31,26 +31,26 @@
 			var told []ListChange
 			reads, learns := newView(nil), newView(func(c ListChange) { told = append(told, c) })
 			list, revision := manyUpstreams(n), int64(n)
-			reads.Upstreams(list, revision, time.Now())
-			is.True(learns.LearnUpstreams(reads.HandOver(learns.Have()), "p"))
+			reads.SetUpstreams(list, revision, time.Now())
+			is.True(learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p"))
 			is.Equal(len(told[0].Changed), n) // the whole, to one that knows nothing
 			for i := range 50 {
 				revision++
 				u := list[i]
 				u.Revision, u.Leaving = revision, true
-				reads.Changes([]Change{{Upstream: u}}, revision, time.Now())
-				handed := reads.HandOver(learns.Have())
-				is.Equal(len(handed.Upstreams)+len(handed.Vanished), 1)
-				is.True(learns.LearnUpstreams(handed, "p"))
+				reads.ApplyChanges([]Change{{Upstream: u}}, revision, time.Now())
+				handed := reads.ListFor(learns.KnownState())
+				is.Equal(len(handed.Upstreams)+len(handed.Removed), 1)
+				is.True(learns.MergeUpstreams(handed, "p"))
 				is.Equal(len(told[i+1].Changed), 1)
 			}
 			revision++
-			reads.Changes([]Change{{Gone: true, Upstream: Upstream{ID: list[7].ID, Revision: revision}}}, revision, time.Now())
-			handed := reads.HandOver(learns.Have())
+			reads.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: list[7].ID, Revision: revision}}}, revision, time.Now())
+			handed := reads.ListFor(learns.KnownState())
 			is.Equal(len(handed.Upstreams), 0)
-			is.Equal(handed.Vanished, []string{list[7].ID})
-			is.True(learns.LearnUpstreams(handed, "p"))
-			is.Equal(told[51].Gone, []string{list[7].ID})
+			is.Equal(handed.Removed, []string{list[7].ID})
+			is.True(learns.MergeUpstreams(handed, "p"))
+			is.Equal(told[51].Removed, []string{list[7].ID})
 			is.Equal(learns.List().Upstreams, reads.List().Upstreams)
 		})
 	}
@@ -61,18 +61,18 @@
 	is := is.New(t)
 	reads, learns := newView(nil), newView(nil)
 	list, revision := manyUpstreams(20), int64(20)
-	reads.Upstreams(list, revision, time.Now())
-	learns.LearnUpstreams(reads.HandOver(learns.Have()), "p")
+	reads.SetUpstreams(list, revision, time.Now())
+	learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p")
 	for i := range 3 * leastLogged {
 		revision++
 		u := list[i%20]
 		u.Revision, u.Slots = revision, i
-		reads.Changes([]Change{{Upstream: u}}, revision, time.Now())
+		reads.ApplyChanges([]Change{{Upstream: u}}, revision, time.Now())
 	}
-	handed := reads.HandOver(learns.Have())
+	handed := reads.ListFor(learns.KnownState())
 	is.Equal(handed.Since, int64(0))
 	is.Equal(len(handed.Upstreams), 20)
-	is.True(learns.LearnUpstreams(handed, "p"))
+	is.True(learns.MergeUpstreams(handed, "p"))
 	is.Equal(learns.List().Upstreams, reads.List().Upstreams)
 }
 
@@ -82,8 +82,8 @@
 	is := is.New(t)
 	reads, learns := newView(nil), newView(nil)
 	list, revision := manyUpstreams(3_000), int64(3_000)
-	reads.Upstreams(list, revision, time.Now())
-	learns.LearnUpstreams(reads.HandOver(learns.Have()), "p")
+	reads.SetUpstreams(list, revision, time.Now())
+	learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p")
 	learns.change("a fault", func(r *roster, now time.Time) {
 		r.remove(now, list[5].ID)
 		u := list[6]
@@ -91,14 +91,14 @@
 		r.put(now, u)
 	})
 	revision++
-	reads.Changes([]Change{{Gone: true, Upstream: Upstream{ID: list[9].ID, Revision: revision}}}, revision, time.Now())
-	is.True(!learns.LearnUpstreams(reads.HandOver(learns.Have()), "p"))
-	handed := reads.HandOver(learns.Have())
-	is.True(len(handed.Parts) > 0 && len(handed.Parts) <= 2)
+	reads.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: list[9].ID, Revision: revision}}}, revision, time.Now())
+	is.True(!learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p"))
+	handed := reads.ListFor(learns.KnownState())
+	is.True(len(handed.Chunks) > 0 && len(handed.Chunks) <= 2)
 	is.True(len(handed.Upstreams) < 3_000/parts*4)
-	is.True(learns.LearnUpstreams(handed, "p"))
+	is.True(learns.MergeUpstreams(handed, "p"))
 	is.Equal(learns.List().Upstreams, reads.List().Upstreams)
-	is.Equal(len(learns.Have().Sums), 0)
+	is.Equal(len(learns.KnownState().Checksums), 0)
 }
 
 // listWorld is a source of upstreams and the instances that believe in its list.
@@ -136,14 +136,14 @@
 	switch {
 	case there && w.random.IntN(3) == 0:
 		delete(w.listed, id)
-		w.events = append(w.events, Change{Gone: true, Upstream: Upstream{ID: id, Revision: w.revision}})
+		w.events = append(w.events, Change{Removed: true, Upstream: Upstream{ID: id, Revision: w.revision}})
 		return
 	case there && w.random.IntN(2) == 0:
 		u.Leaving = true
 	case there:
 		u.Slots++
 	default:
-		u = Upstream{ID: id, Slots: 1, Born: w.revision}
+		u = Upstream{ID: id, Slots: 1, Incarnation: w.revision}
 	}
 	u.Revision = w.revision
 	u.Sequence++
@@ -156,7 +156,7 @@
 	for _, u := range w.listed {
 		out = append(out, u)
 	}
-	slices.SortFunc(out, func(a, b Upstream) int { return int(a.Born - b.Born) })
+	slices.SortFunc(out, func(a, b Upstream) int { return int(a.Incarnation - b.Incarnation) })
 	return out
 }
 
@@ -168,20 +168,20 @@
 		w.publish()
 	}
 	rest := slices.DeleteFunc(w.entries(), func(u Upstream) bool { return u.ID < "i-3" })
-	w.views[i].Upstreams(append(half, rest...), first, time.Now())
+	w.views[i].SetUpstreams(append(half, rest...), first, time.Now())
 	w.watched[i] = first
 }
 
 // watch lets a reader hear of all changes.
 func (w *listWorld) watch(i int) {
-	w.views[i].Changes(w.events[w.watched[i]:], w.revision, time.Now())
+	w.views[i].ApplyChanges(w.events[w.watched[i]:], w.revision, time.Now())
 	w.watched[i] = w.revision
 }
 
 // learn lets an instance ask another one, and again where their lists differ though they shouldn't.
 func (w *listWorld) learn(from, to int) {
 	for range 3 {
-		if w.views[to].LearnUpstreams(w.views[from].HandOver(w.views[to].Have()), "p") {
+		if w.views[to].MergeUpstreams(w.views[from].ListFor(w.views[to].KnownState()), "p") {
 			return
 		}
 	}
@@ -248,7 +248,7 @@
 
 func compareIDs(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) }
 
-func sumsOf(list []Upstream) (out Sums) {
+func sumsOf(list []Upstream) (out Checksums) {
 	for _, u := range list {
 		out[partOf(u.ID)] += sumOf(u)
 	}
@@ -260,7 +260,7 @@
 	return func(c ListChange) {
 		*list = slices.DeleteFunc(*list, func(u Upstream) bool {
 			changed := slices.ContainsFunc(c.Changed, func(other Upstream) bool { return other.ID == u.ID })
-			return changed || slices.Contains(c.Gone, u.ID)
+			return changed || slices.Contains(c.Removed, u.ID)
 		})
 		*list = append(*list, c.Changed...)
 		slices.SortFunc(*list, compareIDs)
--- a/internal/view/position.go
+++ b/internal/view/position.go
@@ -14,8 +14,8 @@
 	return era*eraSpan + revision, ok
 }
 
-// EraOf returns the era of a position, and RevisionOf its revision within that.
-func EraOf(position int64) int64 { return position / eraSpan }
+// EpochOf returns the era of a position, and RevisionOf its revision within that.
+func EpochOf(position int64) int64 { return position / eraSpan }
 
 // RevisionOf returns the revision of a position within its era.
 func RevisionOf(position int64) int64 { return position % eraSpan }
--- a/internal/view/restored_test.go
+++ b/internal/view/restored_test.go
@@ -58,7 +58,7 @@
 			position, ok := Position(c.era, c.revision)
 			is.Equal(ok, c.ok)
 			if ok {
-				is.Equal(EraOf(position), c.era)
+				is.Equal(EpochOf(position), c.era)
 				is.Equal(RevisionOf(position), c.revision)
 			}
 		})
@@ -97,9 +97,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			v := newVersionedView()
-			v.Configuration(in(1, 43), []byte(inForceIs), time.Now().Add(-4*time.Second))
+			v.SetConfiguration(in(1, 43), []byte(inForceIs), time.Now().Add(-4*time.Second))
 			for range 2 { // the second time it may be known
-				v.Configuration(c.position, []byte(c.content), time.Now())
+				v.SetConfiguration(c.position, []byte(c.content), time.Now())
 			}
 			is.Equal(inForce(v), c.inForce)
 			age, _ := v.Age()
@@ -113,16 +113,16 @@
 func TestACopyProvesNothingOfWhatAPeerKnows(t *testing.T) {
 	is := is.New(t)
 	v := newVersionedView()
-	v.Configuration(in(2, 39), []byte("46 of the copy"), time.Now())
-	is.True(v.IsBehind(48, in(1, 43)))
-	v.Learn(Configuration{Revision: in(1, 43), Content: []byte("48 in force")}, time.Now().Add(-3*time.Second), "p")
+	v.SetConfiguration(in(2, 39), []byte("46 of the copy"), time.Now())
+	is.True(v.IsOlderThan(48, in(1, 43)))
+	v.MergeConfiguration(Configuration{Revision: in(1, 43), Content: []byte("48 in force")}, time.Now().Add(-3*time.Second), "p")
 	is.Equal(inForce(v), "48 in force")
-	v.Configuration(in(2, 39), []byte("46 of the copy"), time.Now())
+	v.SetConfiguration(in(2, 39), []byte("46 of the copy"), time.Now())
 	age, _ := v.Age()
 	is.True(age >= 3*time.Second)
-	is.True(!v.IsBehind(46, in(2, 39)))
-	is.True(v.IsBehind(0, in(2, 39))) // a peer that doesn't tell versions
-	is.True(v.IsBehind(50, in(2, 41)))
+	is.True(!v.IsOlderThan(46, in(2, 39)))
+	is.True(v.IsOlderThan(0, in(2, 39))) // a peer that doesn't tell versions
+	is.True(v.IsOlderThan(50, in(2, 41)))
 }
 
 func TestAnEvacuationOutlivesTheReturnOfItsSource(t *testing.T) {
@@ -133,20 +133,20 @@
 		later   []string // once nothing is held any more
 	}{
 		"nothing":                     {func(*View) {}, both, []string{"piassa"}},
-		"it is written again":         {func(v *View) { v.Evacuations(both, in(2, 22)) }, both, both},
-		"it is lifted":                {func(v *View) { v.ZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22)) }, []string{"piassa"}, []string{"piassa"}},
-		"another one is lifted":       {func(v *View) { v.ZoneChanges([]ZoneChange{{"piassa", false, in(2, 22)}}, in(2, 22)) }, []string{"bole"}, nil},
-		"it is seen again and lifted": {func(v *View) { v.Evacuations(both, in(2, 22)); v.Evacuations(nil, in(2, 23)) }, nil, nil},
-		"a second return":             {func(v *View) { v.Evacuations(nil, in(3, 5)) }, both, nil},
+		"it is written again":         {func(v *View) { v.SetEvacuations(both, in(2, 22)) }, both, both},
+		"it is lifted":                {func(v *View) { v.ApplyZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22)) }, []string{"piassa"}, []string{"piassa"}},
+		"another one is lifted":       {func(v *View) { v.ApplyZoneChanges([]ZoneChange{{"piassa", false, in(2, 22)}}, in(2, 22)) }, []string{"bole"}, nil},
+		"it is seen again and lifted": {func(v *View) { v.SetEvacuations(both, in(2, 22)); v.SetEvacuations(nil, in(2, 23)) }, nil, nil},
+		"a second return":             {func(v *View) { v.SetEvacuations(nil, in(3, 5)) }, both, nil},
 		"a peer that was cut off knows of a third": {func(v *View) {
-			v.LearnEvacuations(Evacuations{Version: in(1, 50), Zones: []string{"merkato"}}, "p")
+			v.MergeEvacuations(Evacuations{Version: in(1, 50), Zones: []string{"merkato"}}, "p")
 		}, []string{"bole", "merkato", "piassa"}, []string{"piassa"}},
 		"a peer that was cut off knows less": {func(v *View) {
-			v.LearnEvacuations(Evacuations{Version: in(1, 30), Zones: []string{"merkato"}}, "p")
+			v.MergeEvacuations(Evacuations{Version: in(1, 30), Zones: []string{"merkato"}}, "p")
 		}, both, []string{"piassa"}},
 		"a peer holds it once it is lifted": {func(v *View) {
-			v.ZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22))
-			v.LearnEvacuations(Evacuations{Version: in(2, 21), Zones: both, Held: map[string]time.Duration{"bole": time.Hour}}, "p")
+			v.ApplyZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22))
+			v.MergeEvacuations(Evacuations{Version: in(2, 21), Zones: both, Held: map[string]time.Duration{"bole": time.Hour}}, "p")
 		}, []string{"piassa"}, []string{"piassa"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,14 +154,14 @@
 				is := is.New(t)
 				v := newView(nil)
 				v.o.Now = time.Now
-				v.Evacuations([]string{"bole"}, in(1, 40))
-				v.Evacuations([]string{"piassa"}, in(2, 21)) // lifted in the seconds that were lost, and evacuated since
-				is.Equal(v.Evacuated().Zones, both)
+				v.SetEvacuations([]string{"bole"}, in(1, 40))
+				v.SetEvacuations([]string{"piassa"}, in(2, 21)) // lifted in the seconds that were lost, and evacuated since
+				is.Equal(v.CurrentEvacuations().Zones, both)
 				c.happens(v)
-				is.True(slices.Equal(v.Evacuated().Zones, c.zones))
+				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.zones))
 				<-time.After(restoredHold + time.Second)
 				synctest.Wait()
-				is.True(slices.Equal(v.Evacuated().Zones, c.later))
+				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.later))
 			})
 		})
 	}
@@ -173,16 +173,16 @@
 		is := is.New(t)
 		knows, started := newView(nil), newView(nil)
 		knows.o.Now, started.o.Now = time.Now, time.Now
-		knows.Evacuations([]string{"bole"}, in(1, 40))
-		knows.Evacuations(nil, in(2, 21))
-		started.Evacuations(nil, in(2, 21))
+		knows.SetEvacuations([]string{"bole"}, in(1, 40))
+		knows.SetEvacuations(nil, in(2, 21))
+		started.SetEvacuations(nil, in(2, 21))
 		<-time.After(restoredHold / 2)
-		started.LearnEvacuations(knows.Evacuated(), "p")
-		is.Equal(started.Evacuated().Zones, []string{"bole"})
+		started.MergeEvacuations(knows.CurrentEvacuations(), "p")
+		is.Equal(started.CurrentEvacuations().Zones, []string{"bole"})
 		<-time.After(restoredHold/2 + time.Second)
 		synctest.Wait()
-		is.Equal(len(started.Evacuated().Zones), 0)
-		is.Equal(len(knows.Evacuated().Zones), 0)
+		is.Equal(len(started.CurrentEvacuations().Zones), 0)
+		is.Equal(len(knows.CurrentEvacuations().Zones), 0)
 	})
 }
 
@@ -194,21 +194,21 @@
 		is := is.New(t)
 		v := newView(nil)
 		v.o.Now = time.Now
-		v.Upstreams([]Upstream{
+		v.SetUpstreams([]Upstream{
 			entry("stays", 4, in(1, 10), false), entry("leaves", 5, in(1, 30), true), entry("started", 1, in(1, 31), false),
 			entry("left", 7, in(1, 32), true), entry("vanished", 3, in(1, 12), false), entry("dies", 2, in(1, 33), false),
 		}, in(1, 33), time.Now())
-		v.Changes([]Change{{Gone: true, Upstream: Upstream{ID: "left", Revision: in(1, 34)}}, {Gone: true, Upstream: Upstream{ID: "vanished", Revision: in(1, 35)}}}, in(1, 35), time.Now())
+		v.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "left", Revision: in(1, 34)}}, {Removed: true, Upstream: Upstream{ID: "vanished", Revision: in(1, 35)}}}, in(1, 35), time.Now())
 		copied := []Upstream{
 			entry("stays", 4, in(2, 10), false), entry("leaves", 4, in(2, 11), false),
 			entry("left", 6, in(2, 13), false), entry("vanished", 3, in(2, 12), false), entry("before", 1, in(2, 14), false),
 		}
-		v.Upstreams(copied, in(2, 14), time.Now())
+		v.SetUpstreams(copied, in(2, 14), time.Now())
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started missing, stays ready")
-		v.SourceWasThere(time.Minute, "p") // before it came back
+		v.MergeSourceUptime(time.Minute, "p") // before it came back
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started missing, stays ready")
-		v.applyDoubt("stays", Change{Gone: true, Upstream: Upstream{ID: "stays", Revision: in(1, 9)}}) // of the era before
-		v.Changes([]Change{{Upstream: entry("started", 2, in(2, 15), false)}, {Upstream: entry("vanished", 4, in(2, 16), false)}}, in(2, 16), time.Now())
+		v.applyDoubt("stays", Change{Removed: true, Upstream: Upstream{ID: "stays", Revision: in(1, 9)}}) // of the era before
+		v.ApplyChanges([]Change{{Upstream: entry("started", 2, in(2, 15), false)}, {Upstream: entry("vanished", 4, in(2, 16), false)}}, in(2, 16), time.Now())
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started ready, stays ready, vanished ready")
 		<-time.After(v.upstreams.rewrite + time.Second)
 		synctest.Wait()
@@ -224,20 +224,20 @@
 		v := newView(nil)
 		v.o.Now = time.Now
 		started := Upstream{ID: "a", Slots: 1, Sequence: 1, Revision: in(1, 31)}
-		v.Upstreams([]Upstream{started}, in(1, 31), time.Now())
-		v.Upstreams(nil, in(2, 14), time.Now())
+		v.SetUpstreams([]Upstream{started}, in(1, 31), time.Now())
+		v.SetUpstreams(nil, in(2, 14), time.Now())
 		<-time.After(v.upstreams.rewrite + time.Second)
 		synctest.Wait()
 		is.Equal(states(v), "")
 		started.Revision = in(2, 20)
-		v.Changes([]Change{{Upstream: started}}, in(2, 20), time.Now())
+		v.ApplyChanges([]Change{{Upstream: started}}, in(2, 20), time.Now())
 		is.Equal(states(v), "a ready")
-		v.Upstreams(nil, in(3, 14), time.Now()) // a second return
+		v.SetUpstreams(nil, in(3, 14), time.Now()) // a second return
 		<-time.After(v.upstreams.rewrite + time.Second)
 		synctest.Wait()
 		is.Equal(states(v), "")
 		started.Revision = in(4, 20) // and a third one, with the entry in the copy
-		v.Upstreams([]Upstream{started}, in(4, 20), time.Now())
+		v.SetUpstreams([]Upstream{started}, in(4, 20), time.Now())
 		is.Equal(states(v), "a ready")
 	})
 }
@@ -249,17 +249,17 @@
 		is := is.New(t)
 		v := newVersionedView()
 		v.o.Now = time.Now
-		v.Evacuations([]string{"bole"}, in(1, 40))
-		v.Configuration(in(1, 41), []byte("48 in force"), time.Now())
-		v.Evacuations(nil, in(2, 21))
-		v.Configuration(in(2, 20), []byte("46 of the copy"), time.Now())
+		v.SetEvacuations([]string{"bole"}, in(1, 40))
+		v.SetConfiguration(in(1, 41), []byte("48 in force"), time.Now())
+		v.SetEvacuations(nil, in(2, 21))
+		v.SetConfiguration(in(2, 20), []byte("46 of the copy"), time.Now())
 		<-time.After(2 * rewrittenHold)
-		is.Equal(v.Evacuated().Zones, []string{"bole"})
-		v.Configuration(in(2, 22), []byte("50 written again"), time.Now())
-		is.Equal(v.Evacuated().Zones, []string{"bole"}) // it may be written next
+		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"})
+		v.SetConfiguration(in(2, 22), []byte("50 written again"), time.Now())
+		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"}) // it may be written next
 		<-time.After(rewrittenHold + time.Millisecond)
 		synctest.Wait()
-		is.Equal(len(v.Evacuated().Zones), 0)
+		is.Equal(len(v.CurrentEvacuations().Zones), 0)
 	})
 }
 
@@ -285,14 +285,14 @@
 	is := is.New(t)
 	cut, reads := newView(nil), newView(nil)
 	list := []Upstream{{ID: "a", Sequence: 2, Revision: in(1, 10)}, {ID: "b", Sequence: 2, Revision: in(1, 90), Leaving: true}}
-	cut.Upstreams(list, in(1, 90), time.Now())
-	reads.Upstreams([]Upstream{{ID: "a", Sequence: 3, Revision: in(2, 11)}, {ID: "b", Sequence: 1, Revision: in(2, 9)}, {ID: "c", Revision: in(2, 12)}}, in(2, 12), time.Now())
-	reads.LearnUpstreams(cut.HandOver(reads.Have()), "cut")
+	cut.SetUpstreams(list, in(1, 90), time.Now())
+	reads.SetUpstreams([]Upstream{{ID: "a", Sequence: 3, Revision: in(2, 11)}, {ID: "b", Sequence: 1, Revision: in(2, 9)}, {ID: "c", Revision: in(2, 12)}}, in(2, 12), time.Now())
+	reads.MergeUpstreams(cut.ListFor(reads.KnownState()), "cut")
 	is.Equal(reads.ListVersion(), in(2, 12))
-	cut.LearnUpstreams(reads.HandOver(cut.Have()), "reads")
+	cut.MergeUpstreams(reads.ListFor(cut.KnownState()), "reads")
 	is.Equal(cut.ListVersion(), in(2, 12))
 	is.Equal(states(cut), "a ready, b leaving, c ready")
-	is.True(!reads.LearnUpstreams(cut.HandOver(reads.Have()), "cut")) // they are unlike: their parts are asked for
-	reads.LearnUpstreams(cut.HandOver(reads.Have()), "cut")
+	is.True(!reads.MergeUpstreams(cut.ListFor(reads.KnownState()), "cut")) // they are unlike: their parts are asked for
+	reads.MergeUpstreams(cut.ListFor(reads.KnownState()), "cut")
 	is.Equal(states(reads), "a ready, b leaving, c ready")
 }
--- a/internal/view/roster.go
+++ b/internal/view/roster.go
@@ -51,7 +51,7 @@
 // enterEra is called with the position of a list. In a new era the source lacks what it has lost, until that is written
 // again: what is missing isn't gone.
 func (r *roster) enterEra(now time.Time, position int64) {
-	if r.version == 0 || EraOf(position) <= EraOf(r.version) {
+	if r.version == 0 || EpochOf(position) <= EpochOf(r.version) {
 		return
 	}
 	r.restored = now.Add(r.rewrite)
@@ -93,19 +93,19 @@
 // was read. The version stays: nothing is known of what else has changed by then. One that is gone
 // isn't taken back from peers that haven't heard.
 func (r *roster) applyEntry(now time.Time, known Upstream, c Change) {
-	if r.entries[known.ID] != known || EraOf(c.Upstream.Revision) != EraOf(r.version) {
+	if r.entries[known.ID] != known || EpochOf(c.Upstream.Revision) != EpochOf(r.version) {
 		return
 	}
 	switch {
 	case c.Unreadable:
 		r.remove(now, known.ID)
-	case c.Gone:
+	case c.Removed:
 		r.vanish(now, known.ID)
 	default:
 		r.put(now, c.Upstream)
 	}
 	if _, listed := r.entries[known.ID]; !listed {
-		r.left.note(now, known, true, EraOf(r.version))
+		r.left.note(now, known, true, EpochOf(r.version))
 	}
 }
 
@@ -119,7 +119,7 @@
 	case c.Unreadable:
 		r.touch(now, u.ID).news = true
 		r.remove(now, u.ID)
-	case c.Gone:
+	case c.Removed:
 		r.touch(now, u.ID).news = true // peers may list it also where this instance doesn't
 		r.vanish(now, u.ID)
 	default:
@@ -237,7 +237,7 @@
 func (r *roster) remove(now time.Time, id string) (changed bool) {
 	u, listed := r.entries[id]
 	if listed {
-		r.left.note(now, u, u.Leaving, EraOf(r.version))
+		r.left.note(now, u, u.Leaving, EpochOf(r.version))
 	}
 	r.forget(now, id)
 	return listed
--- a/internal/view/sums.go
+++ b/internal/view/sums.go
@@ -11,13 +11,13 @@
 // parts is the number of parts that a list is compared in, where two lists of one version are unlike.
 const parts = 64
 
-// Sums are sums of a list's content, by parts: lists that are alike have the same. What is missing for
+// Checksums are sums of a list's content, by parts: lists that are alike have the same. What is missing for
 // the time being doesn't count, since each instance gives it up in its own time.
-type Sums [parts]uint64
+type Checksums [parts]uint64
 
 // sums are kept up to date with each change.
 type sums struct {
-	listed Sums
+	listed Checksums
 	lapsed uint64 // of what is missing
 }
 
@@ -28,7 +28,7 @@
 func sumOf(u Upstream) uint64 {
 	b := append([]byte(u.ID), 0)
 	b = strconv.AppendInt(b, u.Revision, 10)
-	b = strconv.AppendInt(append(b, 0), u.Born, 10)
+	b = strconv.AppendInt(append(b, 0), u.Incarnation, 10)
 	b = strconv.AppendBool(append(b, 0), u.Leaving)
 	return xxhash.Sum64(b)
 }
@@ -52,7 +52,7 @@
 }
 
 // Digest is one sum of all parts.
-func (s *Sums) Digest() uint64 {
+func (s *Checksums) Digest() uint64 {
 	b := make([]byte, 0, 8*parts)
 	for _, part := range s {
 		b = strconv.AppendUint(b, part, 36)
@@ -66,7 +66,7 @@
 func (s *sums) text() string { return fmt.Sprintf("%08x", uint32(s.listed.Digest()+s.lapsed)) }
 
 // unlike returns the parts in which lists differ by their sums.
-func (s *Sums) unlike(other []uint64) (out []int) {
+func (s *Checksums) unlike(other []uint64) (out []int) {
 	for part, sum := range s {
 		if part >= len(other) || other[part] != sum {
 			out = append(out, part)
--- a/internal/view/suspended_test.go
+++ b/internal/view/suspended_test.go
@@ -16,22 +16,22 @@
 	v := newView(nil)
 	v.o.Now = func() time.Time { return time.Now().Add(suspended) }
 	asked := v.o.Now() // of a proof that is under way as the machine stands still
-	v.Configuration(1, []byte("a"), v.o.Now())
-	v.Upstreams([]Upstream{{ID: "a", Service: "s", Revision: 1}}, 1, v.o.Now())
+	v.SetConfiguration(1, []byte("a"), v.o.Now())
+	v.SetUpstreams([]Upstream{{ID: "a", Service: "s", Revision: 1}}, 1, v.o.Now())
 	_, age := v.Table()
-	is.True(v.Fresh(age))
+	is.True(v.IsUsable(age))
 
 	suspended = 6 * time.Second
 	_, age = v.Table()
-	is.True(!v.Fresh(age))
-	v.Configuration(1, []byte("a"), asked)
+	is.True(!v.IsUsable(age))
+	v.SetConfiguration(1, []byte("a"), asked)
 	_, age = v.Table()
-	is.True(!v.Fresh(age)) // it proves nothing of the time since
+	is.True(!v.IsUsable(age)) // it proves nothing of the time since
 	listAge, _ := v.ListAge()
 	is.True(listAge >= suspended)
-	is.Equal(v.SteadyFor(), time.Duration(0)) // entries may have lapsed
+	is.Equal(v.SourceUptime(), time.Duration(0)) // entries may have lapsed
 
-	v.Configuration(1, []byte("a"), v.o.Now())
+	v.SetConfiguration(1, []byte("a"), v.o.Now())
 	_, age = v.Table()
-	is.True(v.Fresh(age))
+	is.True(v.IsUsable(age))
 }
--- a/internal/view/upstreams.go
+++ b/internal/view/upstreams.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Upstreams implements Sink: it takes the whole list.
-func (v *View) Upstreams(list []Upstream, revision int64, asOf time.Time) {
+// SetUpstreams implements Sink: it takes the whole list.
+func (v *View) SetUpstreams(list []Upstream, revision int64, asOf time.Time) {
 	v.change("source", func(r *roster, now time.Time) {
 		r.replace(now, list, revision)
 		r.prove(revision, asOf)
 	})
 }
 
-// Changes implements Sink.
-func (v *View) Changes(changes []Change, complete int64, asOf time.Time) {
+// ApplyChanges implements Sink.
+func (v *View) ApplyChanges(changes []Change, complete int64, asOf time.Time) {
 	v.change("source", func(r *roster, now time.Time) {
 		r.apply(now, changes, complete)
 		r.prove(complete, asOf)
 	})
 }
 
-// Current implements Sink.
-func (v *View) Current(revision int64, asOf time.Time) {
+// ProveCurrent implements Sink.
+func (v *View) ProveCurrent(revision int64, asOf time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.upstreams.prove(revision, asOf)
 }
 
-// LearnUpstreams takes a peer's list if it is newer than the one at hand. One of the same
+// MergeUpstreams takes a peer's list if it is newer than the one at hand. One of the same
 // version proves that the one at hand is as current as the peer's; it needs no upstreams. It tells
 // whether the two are alike as far as is known: where they have the same version and aren't, the peer is to be
 // asked for the parts that differ (see Have).
-func (v *View) LearnUpstreams(l List, peer string) (alike bool) {
+func (v *View) MergeUpstreams(l List, peer string) (alike bool) {
 	if l.Version < v.ListVersion() || l.Version == 0 {
 		return true
 	}
@@ -54,11 +54,11 @@
 		return true
 	}
 	r.unlike = 0
-	compared := r.compared == r.version && l.Parts == nil
+	compared := r.compared == r.version && l.Chunks == nil
 	if compared || l.Digest == r.sums.listed.Digest() {
 		return true
 	}
-	if l.Parts != nil {
+	if l.Chunks != nil {
 		r.compared = r.version
 	}
 	known := r.compared == r.version // what this instance knows better stays as it is
@@ -67,26 +67,26 @@
 	}
 	v.o.Metrics.Count("tacktally_lists_unlike_total")
 	v.o.Log.Warn().Str("event", "lists_unlike").Int64("version", r.version).Str("peer", peer).Str("digest", r.sums.text()).
-		Int64("since", l.Since).Int("parts", len(l.Parts)).Bool("known", known).Msg("")
+		Int64("since", l.Since).Int("parts", len(l.Chunks)).Bool("known", known).Msg("")
 	return known
 }
 
-// Have returns what is known of the list, for a peer that is asked for it.
-func (v *View) Have() Have {
+// KnownState returns what is known of the list, for a peer that is asked for it.
+func (v *View) KnownState() KnownState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
-	have := Have{Version: r.version}
+	have := KnownState{Version: r.version}
 	if r.version > 0 && r.unlike == r.version {
-		have.Sums = slices.Clone(r.sums.listed[:])
+		have.Checksums = slices.Clone(r.sums.listed[:])
 	}
 	return have
 }
 
-// SourceWasThere takes a peer's word that the source was there all the time for so long. What
+// MergeSourceUptime takes a peer's word that the source was there all the time for so long. What
 // is missing after an outage within it didn't lapse, but has left: an instance whose own
 // connections failed would otherwise go on using it until it has settled.
-func (v *View) SourceWasThere(steady time.Duration, peer string) {
+func (v *View) MergeSourceUptime(steady time.Duration, peer string) {
 	v.mu.Lock()
 	settles := v.upstreams.settles.After(v.o.Now()) || len(v.upstreams.missing) > 0
 	v.mu.Unlock()
@@ -94,7 +94,7 @@
 		return
 	}
 	v.change("steady peer "+peer, func(r *roster, now time.Time) {
-		r.giveUpMissing(now, now.Add(v.o.Settle+v.o.Lapse-steady))
+		r.giveUpMissing(now, now.Add(v.o.SettlePeriod+v.o.LapseAfter-steady))
 	})
 }
 
@@ -114,7 +114,7 @@
 	if next, some := r.nextSettle(); some {
 		v.settleAt(next)
 	}
-	if version > 0 && EraOf(r.version) > EraOf(version) {
+	if version > 0 && EpochOf(r.version) > EpochOf(version) {
 		v.o.Log.Warn().Str("event", "source_restored").Int64("version", r.version).Int64("version_before", version).
 			Dur("settling", max(r.settles.Sub(now), 0)).Str("from", from).Msg("the source came back from a copy")
 	}
@@ -141,10 +141,10 @@
 }
 
 // List returns the whole list.
-func (v *View) List() List { return v.HandOver(Have{Whole: true}) }
+func (v *View) List() List { return v.ListFor(KnownState{WholeOnly: true}) }
 
-// HandOver returns the list for a peer, by what it has.
-func (v *View) HandOver(have Have) List {
+// ListFor returns the list for a peer, by what it has.
+func (v *View) ListFor(have KnownState) List {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.upstreams.handOver(v.o.Now(), have)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -29,37 +29,37 @@
 	Run(ctx context.Context, sink Sink)
 	// Decode turns a published configuration into a document.
 	Decode(content []byte) (*routing.Document, error)
-	// Entry reads what is published of one upstream now. It blocks, for a bounded time. An entry that
+	// ReadEntry reads what is published of one upstream now. It blocks, for a bounded time. An entry that
 	// makes no sense is a change that says so, beside the error.
-	Entry(ctx context.Context, id string) (Change, error)
+	ReadEntry(ctx context.Context, id string) (Change, error)
 }
 
 // Sink takes what a Source reads. Its methods may be called by several goroutines.
 type Sink interface {
-	// Configuration is what was published under a revision, as of a time: the moment
+	// SetConfiguration is what was published under a revision, as of a time: the moment
 	// at which the read was sent.
-	Configuration(revision int64, content []byte, asOf time.Time)
-	// Upstreams is the whole list, as the source had it at a revision. The read was sent
+	SetConfiguration(revision int64, content []byte, asOf time.Time)
+	// SetUpstreams is the whole list, as the source had it at a revision. The read was sent
 	// at asOf.
-	Upstreams(list []Upstream, revision int64, asOf time.Time)
-	// Changes are what happened to the list since, in order, up to a revision.
-	Changes(changes []Change, revision int64, asOf time.Time)
-	// Current is the source's revision, as a read shows it that was sent at asOf. A list
+	SetUpstreams(list []Upstream, revision int64, asOf time.Time)
+	// ApplyChanges are what happened to the list since, in order, up to a revision.
+	ApplyChanges(changes []Change, revision int64, asOf time.Time)
+	// ProveCurrent is the source's revision, as a read shows it that was sent at asOf. A list
 	// that is complete up to it is proved current.
-	Current(revision int64, asOf time.Time)
-	// Evacuations is all availability zones that are evacuated, as the source had them at a
+	ProveCurrent(revision int64, asOf time.Time)
+	// SetEvacuations is all availability zones that are evacuated, as the source had them at a
 	// revision. It is told ahead of the configuration that the same read brought, so that whoever
 	// has a configuration knows them as of the same time.
-	Evacuations(zones []string, revision int64)
-	// ZoneChanges are evacuations that began and ended since, in order, up to a revision.
-	ZoneChanges(changes []ZoneChange, revision int64)
-	// Reached and Unreachable tell whether the source answers.
-	Reached()
-	Unreachable(reading string, err error)
-	// Malformed tells of a published entry that makes no sense and is left out.
-	Malformed(err error)
-	// ListRead tells of a whole list that was read, for the log.
-	ListRead(r ListRead)
+	SetEvacuations(zones []string, revision int64)
+	// ApplyZoneChanges are evacuations that began and ended since, in order, up to a revision.
+	ApplyZoneChanges(changes []ZoneChange, revision int64)
+	// SourceReached and Unreachable tell whether the source answers.
+	SourceReached()
+	SourceUnreachable(reading string, err error)
+	// ReportMalformed tells of a published entry that makes no sense and is left out.
+	ReportMalformed(err error)
+	// ReportListRead tells of a whole list that was read, for the log.
+	ReportListRead(r ListRead)
 }
 
 // ListRead is how a whole list was read.
@@ -89,9 +89,9 @@
 	Leaving bool `cbor:"6,keyasint,omitempty"`
 	// Revision of its entry; higher is newer.
 	Revision int64 `cbor:"7,keyasint"`
-	// Born tells its processes apart: one that starts again under its ID holds and knows
+	// Incarnation tells its processes apart: one that starts again under its ID holds and knows
 	// nothing of what the one before did. 0 where it isn't told.
-	Born int64 `cbor:"8,keyasint,omitempty"`
+	Incarnation int64 `cbor:"8,keyasint,omitempty"`
 	// Sequence counts what one process writes of itself; 0 where it isn't told.
 	Sequence int64 `cbor:"9,keyasint,omitempty"`
 	// Cold is how much longer it is cold, as of the moment at which the entry, or a list that it
@@ -102,17 +102,17 @@
 // writtenBefore tells whether its entry was written before another one of the same upstream, by
 // their writers' own word. The source may store them in another order, where one was held up.
 func (u Upstream) writtenBefore(other Upstream) bool {
-	if u.Born != other.Born {
-		return u.Born > 0 && u.Born < other.Born
+	if u.Incarnation != other.Incarnation {
+		return u.Incarnation > 0 && u.Incarnation < other.Incarnation
 	}
 	return u.Sequence > 0 && u.Sequence < other.Sequence
 }
 
 // Change is one change of the list.
 type Change struct {
-	// Gone is set, with ID and revision alone, when the upstream left the list, and
+	// Removed is set, with ID and revision alone, when the upstream left the list, and
 	// Unreadable when its entry is there and names no upstream that can be used.
-	Gone       bool
+	Removed    bool
 	Unreadable bool
 	Upstream   Upstream
 }
@@ -124,12 +124,12 @@
 	Lease time.Duration
 	// ServeStale lets it decide on them past the lease, too.
 	ServeStale bool
-	// Settle is the time after a return of the source in which upstreams that are
+	// SettlePeriod is the time after a return of the source in which upstreams that are
 	// missing from the list may come back to it.
-	Settle time.Duration
-	// Lapse is the shortest outage of the source in which entries may lapse though
+	SettlePeriod time.Duration
+	// LapseAfter is the shortest outage of the source in which entries may lapse though
 	// their upstreams live.
-	Lapse time.Duration
+	LapseAfter time.Duration
 	// OnUpstreams is called with what has changed of the list after a change of it, one call at a
 	// time. It is called while beliefs are locked, and may not ask for them.
 	OnUpstreams func(ListChange)
@@ -174,7 +174,7 @@
 	if o.Now == nil {
 		o.Now = boottime.Now
 	}
-	return &View{o: o, upstreams: newRoster(o.Settle + o.Lapse)}
+	return &View{o: o, upstreams: newRoster(o.SettlePeriod + o.LapseAfter)}
 }
 
 // Run follows the source until ctx ends.
@@ -191,23 +191,23 @@
 	return v.table, v.o.Now().Sub(v.asOf)
 }
 
-// Fresh tells whether a configuration of this age may still decide on API keys.
-func (v *View) Fresh(age time.Duration) bool { return age < v.o.Lease || v.o.ServeStale }
+// IsUsable tells whether a configuration of this age may still decide on API keys.
+func (v *View) IsUsable(age time.Duration) bool { return age < v.o.Lease || v.o.ServeStale }
 
-// Configuration takes what the source published. It implements Sink.
-func (v *View) Configuration(revision int64, content []byte, asOf time.Time) {
+// SetConfiguration takes what the source published. It implements Sink.
+func (v *View) SetConfiguration(revision int64, content []byte, asOf time.Time) {
 	v.offer(Configuration{Revision: revision, Content: content}, asOf, "source")
 }
 
-// Learn takes a configuration that a peer handed over.
-func (v *View) Learn(c Configuration, asOf time.Time, peer string) {
+// MergeConfiguration takes a configuration that a peer handed over.
+func (v *View) MergeConfiguration(c Configuration, asOf time.Time, peer string) {
 	if c.Revision > 0 {
 		v.offer(c, asOf, "peer "+peer)
 	}
 }
 
-// Published returns the configuration for a peer, and its age.
-func (v *View) Published() (Configuration, time.Duration) {
+// PublishedConfiguration returns the configuration for a peer, and its age.
+func (v *View) PublishedConfiguration() (Configuration, time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.table == nil {
@@ -270,7 +270,7 @@
 	case same, len(c.Content) == 0 && c.Revision == inForce.Revision:
 		v.configuration.Revision = max(inForce.Revision, c.Revision)
 		v.prove(asOf)
-	case EraOf(c.Revision) == EraOf(inForce.Revision) && c.Revision < inForce.Revision, c.Revision == v.older.revision:
+	case EpochOf(c.Revision) == EpochOf(inForce.Revision) && c.Revision < inForce.Revision, c.Revision == v.older.revision:
 		v.logOlder(c.Revision, from)
 	default:
 		return false
@@ -313,10 +313,10 @@
 		v.logOlder(c.Revision, from)
 		return false
 	}
-	if EraOf(c.Revision) < EraOf(v.configuration.Revision) {
+	if EpochOf(c.Revision) < EpochOf(v.configuration.Revision) {
 		v.asOf = time.Time{} // reads of the copy proved what it held
 	}
-	if EraOf(c.Revision) == EraOf(v.evacuations.version) {
+	if EpochOf(c.Revision) == EpochOf(v.evacuations.version) {
 		v.evacuations.rewritten(v.o.Now())
 		v.releaseInTime()
 	}
@@ -331,9 +331,9 @@
 	return cmp.Or(cmp.Compare(version, otherVersion), cmp.Compare(position, otherPosition)) > 0
 }
 
-// IsBehind tells whether a configuration of a version and position is newer than the one in force. A version of 0
+// IsOlderThan tells whether a configuration of a version and position is newer than the one in force. A version of 0
 // isn't told.
-func (v *View) IsBehind(version, position int64) bool {
+func (v *View) IsOlderThan(version, position int64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.table == nil || version == 0 {
@@ -358,15 +358,15 @@
 	if !asOf.After(v.asOf) {
 		return
 	}
-	if asOf.Sub(v.asOf) >= v.o.Lapse {
+	if asOf.Sub(v.asOf) >= v.o.LapseAfter {
 		v.steadySince = asOf
 	}
 	v.asOf = asOf
 }
 
-// SteadyFor returns for how long the configuration was proved all the time, without a gap in
+// SourceUptime returns for how long the configuration was proved all the time, without a gap in
 // which entries may lapse; 0 within such a gap.
-func (v *View) SteadyFor() time.Duration {
+func (v *View) SourceUptime() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.table == nil || v.wasAway() {
@@ -375,15 +375,15 @@
 	return v.o.Now().Sub(v.steadySince)
 }
 
-// Reached implements Sink.
-func (v *View) Reached() {
+// SourceReached implements Sink.
+func (v *View) SourceReached() {
 	v.mu.Lock()
 	back := !v.reachable
 	first := !v.everReached
 	v.reachable = true
 	v.everReached = true
 	if back && !first && v.wasAway() {
-		v.upstreams.settleBy(v.o.Now().Add(v.o.Settle))
+		v.upstreams.settleBy(v.o.Now().Add(v.o.SettlePeriod))
 	}
 	v.mu.Unlock()
 	if back {
@@ -396,11 +396,11 @@
 // reach it, and what is missing is gone. Where peers didn't tell of their proofs yet, it
 // may be wrong; see SourceWasThere. The caller holds the lock.
 func (v *View) wasAway() bool {
-	return v.table != nil && v.o.Now().Sub(v.asOf) >= v.o.Lapse
+	return v.table != nil && v.o.Now().Sub(v.asOf) >= v.o.LapseAfter
 }
 
-// Unreachable implements Sink.
-func (v *View) Unreachable(reading string, err error) {
+// SourceUnreachable implements Sink.
+func (v *View) SourceUnreachable(reading string, err error) {
 	v.mu.Lock()
 	lost := v.reachable
 	v.reachable = false
@@ -411,8 +411,8 @@
 	}
 }
 
-// ListRead implements Sink.
-func (v *View) ListRead(r ListRead) {
+// ReportListRead implements Sink.
+func (v *View) ReportListRead(r ListRead) {
 	line := v.o.Log.Info().Str("event", "list_read").Int64("revision", r.Revision).Int64("known", v.ListVersion()).
 		Int("pages", r.Pages).Dur("took", r.Took)
 	if r.Cause != nil {
@@ -425,8 +425,8 @@
 // names them.
 const mostMalformed = 64
 
-// Malformed implements Sink. Each is logged once, however often it is read.
-func (v *View) Malformed(err error) {
+// ReportMalformed implements Sink. Each is logged once, however often it is read.
+func (v *View) ReportMalformed(err error) {
 	v.o.Metrics.Count("tacktally_source_malformed_total")
 	if v.isLogged(err.Error()) {
 		return
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -25,12 +25,12 @@
 	asked     map[string]int
 }
 
-func (s source) Entry(_ context.Context, id string) (Change, error) {
+func (s source) ReadEntry(_ context.Context, id string) (Change, error) {
 	s.asked[id]++
 	u, listed := s.published[id]
 	switch {
 	case !listed:
-		return Change{Gone: true, Upstream: Upstream{ID: id}}, nil
+		return Change{Removed: true, Upstream: Upstream{ID: id}}, nil
 	case u.Slots < 0:
 		return Change{Unreadable: true, Upstream: u}, errors.New("it has no slots")
 	case u.Revision == 0:
@@ -49,7 +49,7 @@
 		Services: []routing.Service{{Name: "s"}},
 		Routes: []routing.Route{{
 			Name: string(content), Host: "h", Prefix: "/", Kind: routing.Idempotent,
-			Timeout: time.Second, MaxAttempts: 1, Split: []routing.Share{{Service: "s", Weight: 1}},
+			Timeout: time.Second, MaxAttempts: 1, Services: []routing.WeightedService{{Service: "s", Weight: 1}},
 		}},
 	}, nil
 }
@@ -57,10 +57,10 @@
 // newView returns a view that knows that no zone is evacuated, and nothing else.
 func newView(onUpstreams func(ListChange)) *View {
 	v := New(Options{
-		Source: source{}, Lease: 5 * time.Second, Settle: 2 * time.Second, Lapse: 2 * time.Second, OnUpstreams: onUpstreams,
+		Source: source{}, Lease: 5 * time.Second, SettlePeriod: 2 * time.Second, LapseAfter: 2 * time.Second, OnUpstreams: onUpstreams,
 		Metrics: telemetry.NewMetrics(), Log: telemetry.NewLogger(io.Discard, "error", "test"),
 	})
-	v.Evacuations(nil, 1)
+	v.SetEvacuations(nil, 1)
 	return v
 }
 
@@ -73,8 +73,8 @@
 	steady.o.Log, settling.o.Log = telemetry.NewLogger(&first, "info", "a"), telemetry.NewLogger(&second, "info", "b")
 	settling.upstreams.settleBy(time.Now().Add(time.Second))
 	for _, v := range []*View{steady, settling} {
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}}, 3, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 3, time.Now())
 	}
 	is.Equal(steady.ListVersion(), settling.ListVersion())
 	here, there := lastLine(first.String()), lastLine(second.String())
@@ -89,7 +89,7 @@
 	var out bytes.Buffer
 	v := newView(nil)
 	v.o.Log = telemetry.NewLogger(&out, "info", "a")
-	v.ListRead(ListRead{Cause: errors.New("the watch was silent"), Revision: 9, Pages: 4, Took: 1440 * time.Millisecond})
+	v.ReportListRead(ListRead{Cause: errors.New("the watch was silent"), Revision: 9, Pages: 4, Took: 1440 * time.Millisecond})
 	line := lastLine(out.String())
 	is.Equal(fieldOf(line, "event"), "list_read")
 	is.Equal(fieldOf(line, "pages"), "4")
@@ -123,11 +123,11 @@
 func TestAChangeThatIsKnownAlreadyRaisesTheVersion(t *testing.T) {
 	is := is.New(t)
 	paged, behind := newView(nil), newView(nil)
-	paged.Upstreams([]Upstream{{ID: "a", Revision: 1}}, 3, time.Now()) // b was removed at 4, before the last page
-	behind.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 3, time.Now())
-	paged.Changes([]Change{{Gone: true, Upstream: Upstream{ID: "b", Revision: 4}}}, 4, time.Now())
+	paged.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 3, time.Now()) // b was removed at 4, before the last page
+	behind.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 3, time.Now())
+	paged.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "b", Revision: 4}}}, 4, time.Now())
 	is.True(paged.ListVersion() > behind.ListVersion())
-	behind.LearnUpstreams(paged.List(), "paged")
+	behind.MergeUpstreams(paged.List(), "paged")
 	is.Equal(ids(behind.List().Upstreams), []string{"a"})
 }
 
@@ -135,8 +135,8 @@
 func TestEntriesWithoutANumberGoByTheirRevision(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
-	v.Upstreams([]Upstream{{ID: "a", Revision: 1, Sequence: 9, Born: 7}}, 1, time.Now())
-	v.LearnUpstreams(List{Version: 2, Upstreams: []Upstream{{ID: "a", Revision: 2, Leaving: true}}}, "older")
+	v.SetUpstreams([]Upstream{{ID: "a", Revision: 1, Sequence: 9, Incarnation: 7}}, 1, time.Now())
+	v.MergeUpstreams(List{Version: 2, Upstreams: []Upstream{{ID: "a", Revision: 2, Leaving: true}}}, "older")
 	is.True(v.List().Upstreams[0].Leaving)
 }
 
@@ -161,23 +161,23 @@
 				asked := map[string]int{}
 				v.o.Source = source{published: c.published, asked: asked}
 				list := []Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}
-				v.Upstreams(list, 3, time.Now())
+				v.SetUpstreams(list, 3, time.Now())
 				for range 5 {
-					v.MayLeave("b")
+					v.RecheckUpstream("b")
 					synctest.Wait()
 				}
 				is.Equal(asked["b"], 1)
 				is.Equal(offered(v), c.left)
 				is.Equal(v.ListVersion(), int64(3))
-				v.LearnUpstreams(List{Version: 4, Upstreams: list}, "a peer that hasn't heard")
+				v.MergeUpstreams(List{Version: 4, Upstreams: list}, "a peer that hasn't heard")
 				is.Equal(offered(v), c.left)
-				v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 12}}, 12, time.Now()) // it is back
+				v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 12}}, 12, time.Now()) // it is back
 				is.Equal(offered(v), "a b")
 				wait.For(t.Context(), doubtEvery)
-				v.MayLeave("b")
+				v.RecheckUpstream("b")
 				synctest.Wait()
 				is.Equal(asked["b"], 2)
-				v.MayLeave("unknown")
+				v.RecheckUpstream("unknown")
 				synctest.Wait()
 				is.Equal(asked["unknown"], 0)
 			})
@@ -189,10 +189,10 @@
 func TestAnEntryThatWasReadTooEarlyChangesNothing(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
-	v.Upstreams([]Upstream{{ID: "a", Revision: 1}}, 1, time.Now())
+	v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 1, time.Now())
 	read := v.List().Upstreams[0]
-	v.Changes([]Change{{Upstream: Upstream{ID: "a", Revision: 2, Slots: 4}}}, 2, time.Now())
-	v.upstreams.applyEntry(time.Now(), read, Change{Gone: true, Upstream: Upstream{ID: "a"}})
+	v.ApplyChanges([]Change{{Upstream: Upstream{ID: "a", Revision: 2, Slots: 4}}}, 2, time.Now())
+	v.upstreams.applyEntry(time.Now(), read, Change{Removed: true, Upstream: Upstream{ID: "a"}})
 	is.Equal(offered(v), "a")
 }
 
@@ -210,8 +210,8 @@
 // inTouch returns a view that has reached its source and has a configuration.
 func inTouch(onUpstreams func(ListChange)) *View {
 	v := newView(onUpstreams)
-	v.Reached()
-	v.Configuration(7, []byte("seven"), time.Now())
+	v.SourceReached()
+	v.SetConfiguration(7, []byte("seven"), time.Now())
 	return v
 }
 
@@ -228,20 +228,20 @@
 	v := newView(nil)
 	now := time.Now()
 	is.Equal(inForce(v), "")
-	v.Configuration(7, []byte("seven"), now)
-	v.Configuration(6, []byte("six"), now.Add(time.Second))
+	v.SetConfiguration(7, []byte("seven"), now)
+	v.SetConfiguration(6, []byte("six"), now.Add(time.Second))
 	is.Equal(inForce(v), "seven")
-	v.Learn(Configuration{Revision: 5, Content: []byte("five")}, now.Add(time.Second), "p")
+	v.MergeConfiguration(Configuration{Revision: 5, Content: []byte("five")}, now.Add(time.Second), "p")
 	is.Equal(inForce(v), "seven")
-	v.Learn(Configuration{Revision: 8, Content: []byte("eight")}, now, "p")
+	v.MergeConfiguration(Configuration{Revision: 8, Content: []byte("eight")}, now, "p")
 	is.Equal(inForce(v), "eight")
 }
 
 func TestInvalidConfigurationLeavesWhatIsInForce(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
-	v.Configuration(7, []byte("seven"), time.Now())
-	v.Configuration(8, nil, time.Now())
+	v.SetConfiguration(7, []byte("seven"), time.Now())
+	v.SetConfiguration(8, nil, time.Now())
 	is.Equal(inForce(v), "seven")
 	is.Equal(v.Revision(), int64(7))
 }
@@ -250,16 +250,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := newView(nil)
-		v.Configuration(7, []byte("seven"), time.Now().Add(-time.Second))
+		v.SetConfiguration(7, []byte("seven"), time.Now().Add(-time.Second))
 		_, age := v.Table()
 		is.Equal(age, time.Second)
-		v.Configuration(7, []byte("seven"), time.Now())
-		v.Learn(Configuration{Revision: 7}, time.Now().Add(-3*time.Second), "p") // older proof
+		v.SetConfiguration(7, []byte("seven"), time.Now())
+		v.MergeConfiguration(Configuration{Revision: 7}, time.Now().Add(-3*time.Second), "p") // older proof
 		_, age = v.Table()
 		is.Equal(age, time.Duration(0))
 		<-time.After(5 * time.Second)
 		_, age = v.Table()
-		is.True(!v.Fresh(age)) // the lease is over
+		is.True(!v.IsUsable(age)) // the lease is over
 	})
 }
 
@@ -269,10 +269,10 @@
 	is := is.New(t)
 	v := newView(nil)
 	proved := time.Now()
-	v.Configuration(7, []byte("seven"), proved)
-	v.Configuration(8, []byte("eight"), proved.Add(-8*time.Second))
+	v.SetConfiguration(7, []byte("seven"), proved)
+	v.SetConfiguration(8, []byte("eight"), proved.Add(-8*time.Second))
 	_, age := v.Table()
-	is.True(v.Fresh(age))
+	is.True(v.IsUsable(age))
 }
 
 func ids(list []Upstream) (out []string) {
@@ -287,11 +287,11 @@
 		is := is.New(t)
 		var list []Upstream
 		v := inTouch(following(&list))
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3, Leaving: true}}, 3, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3, Leaving: true}}, 3, time.Now())
 		outage(v) // and nobody else reached it either
-		v.Upstreams(nil, 6, time.Now())
+		v.SetUpstreams(nil, 6, time.Now())
 		is.Equal(ids(list), []string{"a", "b"}) // c said that it leaves
-		v.Changes([]Change{{Upstream: Upstream{ID: "a", Revision: 9}}}, 9, time.Now())
+		v.ApplyChanges([]Change{{Upstream: Upstream{ID: "a", Revision: 9}}}, 9, time.Now())
 		<-time.After(2 * time.Second)
 		synctest.Wait()
 		is.Equal(ids(list), []string{"a"}) // b didn't come back
@@ -305,12 +305,12 @@
 		is := is.New(t)
 		var list []Upstream
 		v := inTouch(following(&list))
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
-		v.Unreachable("list", errors.New("turned away"))
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+		v.SourceUnreachable("list", errors.New("turned away"))
 		<-time.After(9 * time.Second)
-		v.Learn(Configuration{Revision: 7}, time.Now().Add(-time.Second), "p")
-		v.Reached()
-		v.Upstreams([]Upstream{{ID: "b", Revision: 2}}, 3, time.Now())
+		v.MergeConfiguration(Configuration{Revision: 7}, time.Now().Add(-time.Second), "p")
+		v.SourceReached()
+		v.SetUpstreams([]Upstream{{ID: "b", Revision: 2}}, 3, time.Now())
 		is.Equal(ids(list), []string{"b"})
 	})
 }
@@ -323,15 +323,15 @@
 		is := is.New(t)
 		var list []Upstream
 		v := inTouch(following(&list))
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		outage(v)
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}}, 4, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 4, time.Now())
 		is.Equal(ids(list), []string{"a", "b"})
-		v.SourceWasThere(time.Second, "p")
+		v.MergeSourceUptime(time.Second, "p")
 		is.Equal(ids(list), []string{"a", "b"})
-		v.SourceWasThere(2*time.Second, "p")
+		v.MergeSourceUptime(2*time.Second, "p")
 		is.Equal(ids(list), []string{"a"})
-		v.Changes([]Change{{Gone: true, Upstream: Upstream{ID: "a", Revision: 5}}}, 5, time.Now())
+		v.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "a", Revision: 5}}}, 5, time.Now())
 		is.Equal(len(list), 0) // it doesn't settle any more
 	})
 }
@@ -343,13 +343,13 @@
 		is := is.New(t)
 		var list []Upstream
 		v := inTouch(following(&list))
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		outage(v)
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}}, 4, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 4, time.Now())
 		is.Equal(ids(list), []string{"a", "b"}) // b may have lapsed
-		v.Changes([]Change{{Unreadable: true, Upstream: Upstream{ID: "b", Revision: 3}}}, 4, time.Now())
+		v.ApplyChanges([]Change{{Unreadable: true, Upstream: Upstream{ID: "b", Revision: 3}}}, 4, time.Now())
 		is.Equal(ids(list), []string{"a"})
-		v.Changes([]Change{{Unreadable: true, Upstream: Upstream{ID: "a", Revision: 5}}}, 5, time.Now())
+		v.ApplyChanges([]Change{{Unreadable: true, Upstream: Upstream{ID: "a", Revision: 5}}}, 5, time.Now())
 		is.Equal(len(list), 0)
 	})
 }
@@ -361,16 +361,16 @@
 		v := newView(nil)
 		proveFor := func(span time.Duration) {
 			for end := time.Now().Add(span); time.Now().Before(end); <-time.After(time.Second) {
-				v.Configuration(7, []byte("seven"), time.Now())
+				v.SetConfiguration(7, []byte("seven"), time.Now())
 			}
 		}
-		is.Equal(v.SteadyFor(), time.Duration(0))
+		is.Equal(v.SourceUptime(), time.Duration(0))
 		proveFor(5 * time.Second)
-		is.Equal(v.SteadyFor(), 5*time.Second)
+		is.Equal(v.SourceUptime(), 5*time.Second)
 		<-time.After(1500 * time.Millisecond)
-		is.Equal(v.SteadyFor(), time.Duration(0)) // no proof for 2.5 s
+		is.Equal(v.SourceUptime(), time.Duration(0)) // no proof for 2.5 s
 		proveFor(3 * time.Second)
-		is.Equal(v.SteadyFor(), 3*time.Second)
+		is.Equal(v.SourceUptime(), 3*time.Second)
 	})
 }
 
@@ -378,9 +378,9 @@
 	is := is.New(t)
 	var list []Upstream
 	v := newView(following(&list))
-	v.Reached()
-	v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
-	v.Changes([]Change{{Gone: true, Upstream: Upstream{ID: "a", Revision: 3}}}, 3, time.Now())
+	v.SourceReached()
+	v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+	v.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "a", Revision: 3}}}, 3, time.Now())
 	is.Equal(ids(list), []string{"b"})
 }
 
@@ -390,16 +390,16 @@
 		is := is.New(t)
 		var log strings.Builder
 		v := New(Options{Source: source{}, Metrics: telemetry.NewMetrics(), Log: telemetry.NewLogger(&log, "info", "test")})
-		v.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		<-time.After(2 * time.Second)
-		v.Current(2, time.Now())
-		v.Current(3, time.Now().Add(time.Second)) // the list may lack what came at 3
+		v.ProveCurrent(2, time.Now())
+		v.ProveCurrent(3, time.Now().Add(time.Second)) // the list may lack what came at 3
 		<-time.After(time.Second)
 		age, known := v.ListAge()
 		is.True(known)
 		is.Equal(age, time.Second)
-		v.Changes([]Change{
-			{Upstream: Upstream{ID: "a", Revision: 3, Leaving: true}}, {Upstream: Upstream{ID: "c", Revision: 4}}, {Gone: true, Upstream: Upstream{ID: "b", Revision: 5}},
+		v.ApplyChanges([]Change{
+			{Upstream: Upstream{ID: "a", Revision: 3, Leaving: true}}, {Upstream: Upstream{ID: "c", Revision: 4}}, {Removed: true, Upstream: Upstream{ID: "b", Revision: 5}},
 		}, 5, time.Now())
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
 		is.True(strings.Contains(lines[0], `changed="a ready, b ready"`))
@@ -410,14 +410,14 @@
 
 // outage lets the source be away for long enough for entries to lapse.
 func outage(v *View) {
-	v.Unreachable("list", errors.New("down"))
+	v.SourceUnreachable("list", errors.New("down"))
 	<-time.After(3 * time.Second)
-	v.Reached()
+	v.SourceReached()
 }
 
 // handOver gives one instance's list to another, as when it asks for it.
 func handOver(from, to *View) {
-	to.LearnUpstreams(from.List(), "p")
+	to.MergeUpstreams(from.List(), "p")
 }
 
 // Upstreams that had left went on getting requests from instances that learn the list from
@@ -430,30 +430,30 @@
 		want []string
 	}{
 		"read anew without an upstream that wasn't the newest": {func(reads, learns *View) {
-			reads.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3}}, 3, time.Now())
+			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3}}, 3, time.Now())
 			handOver(reads, learns)
-			reads.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "c", Revision: 3}}, 5, time.Now())
+			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "c", Revision: 3}}, 5, time.Now())
 		}, []string{"a", "c"}},
 		"a change older than the newest entry of a later page": {func(reads, learns *View) {
-			reads.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "z", Revision: 9}}, 5, time.Now())
+			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "z", Revision: 9}}, 5, time.Now())
 			handOver(reads, learns)
-			reads.Changes([]Change{{Gone: true, Upstream: Upstream{ID: "a", Revision: 7}}, {Upstream: Upstream{ID: "z", Revision: 9}}}, 9, time.Now())
+			reads.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "a", Revision: 7}}, {Upstream: Upstream{ID: "z", Revision: 9}}}, 9, time.Now())
 		}, []string{"z"}},
 		"missing after an outage, handed over, and given up": {func(reads, learns *View) {
-			reads.Upstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 			outage(reads)
-			reads.Upstreams([]Upstream{{ID: "b", Revision: 2}, {ID: "c", Revision: 4}}, 5, time.Now())
+			reads.SetUpstreams([]Upstream{{ID: "b", Revision: 2}, {ID: "c", Revision: 4}}, 5, time.Now())
 			handOver(reads, learns)
 			<-time.After(3 * time.Second)
 		}, []string{"b", "c"}},
 		"given up here, and missing for the time being there": {func(reads, learns *View) {
 			list := []Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}
-			reads.Upstreams(list, 2, time.Now())
-			learns.Upstreams(list, 2, time.Now())
+			reads.SetUpstreams(list, 2, time.Now())
+			learns.SetUpstreams(list, 2, time.Now())
 			outage(reads)
-			reads.Upstreams(list[1:], 4, time.Now())
-			learns.Upstreams(list[1:], 4, time.Now()) // no outage for it
-			reads.Changes([]Change{{Upstream: Upstream{ID: "c", Revision: 6}}}, 6, time.Now())
+			reads.SetUpstreams(list[1:], 4, time.Now())
+			learns.SetUpstreams(list[1:], 4, time.Now()) // no outage for it
+			reads.ApplyChanges([]Change{{Upstream: Upstream{ID: "c", Revision: 6}}}, 6, time.Now())
 			handOver(reads, learns)
 			<-time.After(3 * time.Second)
 		}, []string{"b", "c"}},
@@ -476,14 +476,14 @@
 	is := is.New(t)
 	var list []Upstream
 	v := newView(following(&list))
-	v.Reached()
-	v.LearnUpstreams(List{Version: 8, Upstreams: []Upstream{{ID: "a", Revision: 5, Leaving: true}}}, "p")
-	v.Changes([]Change{
+	v.SourceReached()
+	v.MergeUpstreams(List{Version: 8, Upstreams: []Upstream{{ID: "a", Revision: 5, Leaving: true}}}, "p")
+	v.ApplyChanges([]Change{
 		{Upstream: Upstream{ID: "a", Revision: 4}},
 		{Upstream: Upstream{ID: "b", Revision: 6}}, // gone by 8
 	}, 6, time.Now())
 	is.Equal(ids(list), []string{"a"})
 	is.True(list[0].Leaving)
-	v.LearnUpstreams(List{Version: 7}, "p") // an older list
+	v.MergeUpstreams(List{Version: 7}, "p") // an older list
 	is.Equal(ids(list), []string{"a"})
 }
