--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -24,7 +24,7 @@
 			t.Parallel()
 			s, seeds := startFleet(c.seed, c.instances)
 			s.converge(t, 12)
-			s.settle(startFor)
+			s.settle(startupPeriod)
 			f(t, s, seeds)
 		})
 	}
@@ -93,7 +93,7 @@
 			s.settle(time.Second)
 			s.start(address, i.Zone, i.Cores, seeds)
 			s.converge(t, 8)
-			s.settle(introducedFor) // until then it counts those in reach that it was introduced to
+			s.settle(bootstrapPeriod) // until then it counts those in reach that it was introduced to
 		}
 	})
 }
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mayBeHub tells whether a member may be taken for a hub.
-func (t *Table) mayBeHub(now time.Time, e *entry) bool {
-	lately := e.lastAlive.After(e.failed) && now.Sub(e.lastAlive) < candidateFor
-	return !e.Draining && (lately || t.inReach(now, e))
+// isHubCandidate tells whether a member may be taken for a hub.
+func (t *Table) isHubCandidate(now time.Time, e *entry) bool {
+	lately := e.lastAliveAt.After(e.linkFailedAt) && now.Sub(e.lastAliveAt) < candidatePeriod
+	return !e.Draining && (lately || t.isReachable(now, e))
 }
 
 // candidates are the members of a zone from which its hubs come: those within reach, those
 // that lately were, and all.
-type candidates struct{ near, lately, known ranking }
+type candidates struct{ reachable, recent, known ranking }
 
 // candidates returns those of each zone, so many of each at most.
 func (t *Table) candidates(now time.Time, most int) map[string]*candidates {
 	zones := map[string]*candidates{t.self.Zone: {}}
 	if !t.self.Draining {
-		zones[t.self.Zone].near.add(&t.self, most)
+		zones[t.self.Zone].reachable.add(&t.self, most)
 	}
 	for _, e := range t.members {
 		if e.Zone == "" {
@@ -36,25 +36,25 @@
 		c.known.add(&e.Member, most)
 		switch {
 		case e.Draining:
-		case t.inReach(now, e):
-			c.near.add(&e.Member, most)
-		case t.mayBeHub(now, e):
-			c.lately.add(&e.Member, most)
+		case t.isReachable(now, e):
+			c.reachable.add(&e.Member, most)
+		case t.isHubCandidate(now, e):
+			c.recent.add(&e.Member, most)
 		}
 	}
 	return zones
 }
 
-// first returns the first of them: of those that are or lately were within reach, and, where
+// strongest returns the strongest of them: of those that are or lately were within reach, and, where
 // there is none, the strongest that are known, to be tried.
-func (c *candidates) first(most int) []string {
-	if len(c.near)+len(c.lately) == 0 {
+func (c *candidates) strongest(most int) []string {
+	if len(c.reachable)+len(c.recent) == 0 {
 		return c.known.addresses()[:min(len(c.known), most)]
 	}
-	for _, m := range c.lately {
-		c.near.add(m.Member, most)
+	for _, m := range c.recent {
+		c.reachable.add(m.Member, most)
 	}
-	return c.near.addresses()[:min(len(c.near), most)]
+	return c.reachable.addresses()[:min(len(c.reachable), most)]
 }
 
 // ranking is the strongest of some members in order: those with most processor time, and
@@ -63,13 +63,13 @@
 
 type ranked struct {
 	*Member
-	draw uint64
+	hash uint64
 }
 
 func rankedOf(m *Member) ranked { return ranked{m, xxhash.Sum64String(m.Address)} }
 
 func compareRanked(a, b ranked) int {
-	return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.draw, b.draw))
+	return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.hash, b.hash))
 }
 
 // add adds a member if it is among the first.
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -59,41 +59,41 @@
 	Records []Record `cbor:"3,keyasint,omitempty"`
 }
 
-// endedKept is how many former incarnations of an address are remembered: news of them may
+// maxPastIncarnations is how many former incarnations of an address are remembered: news of them may
 // be under way for as long as a process stands still.
-const endedKept = 4
+const maxPastIncarnations = 4
 
 // entry is what a table knows of one member.
 type entry struct {
 	Member
-	ended []uint64 // incarnations that were there before
-	// linked tells whether a link to it is up, reached and alive whether it is vouched for as
+	pastIncarnations []uint64 // incarnations that were there before
+	// linked tells whether a link to it is up, hubLinked and alive whether it is vouched for as
 	// Reached tells and by anybody.
-	linked, reached, alive bool
-	vouched                bool      // anybody has vouched for its process before
-	introduced             time.Time // when it was introduced last
-	lastAlive              time.Time
-	failed                 time.Time // when a link to it ended or couldn't be made
+	linked, hubLinked, alive bool
+	everAlive                bool      // anybody has vouched for its process before
+	bootstrappedAt           time.Time // when it was introduced last
+	lastAliveAt              time.Time
+	linkFailedAt             time.Time // when a link to it ended or couldn't be made
 
-	told    weighed // what is told to others
-	changed uint64  // the table's change at which that changed last
+	published publishedState // what is told to others
+	changedAt uint64         // the table's change at which that changed last
 }
 
-// weighed is what of a member is told to others.
-type weighed struct {
+// publishedState is what of a member is told to others.
+type publishedState struct {
 	Member
-	linked, reached, alive bool
+	linked, hubLinked, alive bool
 }
 
-// adopt takes what is told of the member, and tells whether it is news of its process of
+// update takes what is told of the member, and tells whether it is news of its process of
 // today. A link to a process is proof of it; a telling may be older than what is known.
-func (e *entry) adopt(m Member, proof bool) bool {
+func (e *entry) update(m Member, proof bool) bool {
 	switch {
 	case m.Incarnation == e.Incarnation:
-	case proof, !slices.Contains(e.ended, m.Incarnation) && m.Started.After(e.Started):
-		e.ended = append(e.ended, e.Incarnation)
-		e.ended = e.ended[max(len(e.ended)-endedKept, 0):]
-		e.linked, e.vouched = false, false
+	case proof, !slices.Contains(e.pastIncarnations, m.Incarnation) && m.Started.After(e.Started):
+		e.pastIncarnations = append(e.pastIncarnations, e.Incarnation)
+		e.pastIncarnations = e.pastIncarnations[max(len(e.pastIncarnations)-maxPastIncarnations, 0):]
+		e.linked, e.everAlive = false, false
 	default:
 		return false
 	}
@@ -104,7 +104,7 @@
 	return true
 }
 
-func (e *entry) news(now time.Time, gone bool) Record {
+func (e *entry) record(now time.Time, gone bool) Record {
 	if gone {
 		return Record{Address: e.Address, Removed: true}
 	}
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// startFor is how long after its start an instance may know less than others: until
+	// startupPeriod is how long after its start an instance may know less than others: until
 	// then it is introduced by whoever it is linked to, and seeds link to each other.
-	startFor = 5 * time.Second
-	// knowsFew is how many times as many as a peer an instance must know for the peer to know
+	startupPeriod = 5 * time.Second
+	// bootstrapRatio is how many times as many as a peer an instance must know for the peer to know
 	// far fewer: counts differ a little all the time while instances come and go, and an
 	// introduction to all of 300 is 18 KB (worked out, 60 bytes each).
-	knowsFew = 2
-	// seedEvery is how long an instance waits for one seed before it tries the next one
+	bootstrapRatio = 2
+	// seedInterval is how long an instance waits for one seed before it tries the next one
 	// beside it: seeds may be stale, and all that start ask them.
-	seedEvery = 250 * time.Millisecond
-	// hubAfter is how long after its start an instance links to hubs of other zones: in
+	seedInterval = 250 * time.Millisecond
+	// hubLinkDelay is how long after its start an instance links to hubs of other zones: in
 	// a fleet that starts all at once each takes itself for a hub until it was introduced.
-	hubAfter = 300 * time.Millisecond
-	// laterFor is how long the one of two hubs with the higher address leaves it to the other
+	hubLinkDelay = 300 * time.Millisecond
+	// dialDelay is how long the one of two hubs with the higher address leaves it to the other
 	// to make the link between them.
-	laterFor = 500 * time.Millisecond
-	// lostTried is how many of the instances of a zone that nobody vouches for any more are
+	dialDelay = 500 * time.Millisecond
+	// maxLostTried is how many of the instances of a zone that nobody vouches for any more are
 	// tried at a time, beside the hubs: if most of a zone are lost, each that is left may be
 	// the hub that the others look for. Those that can't be linked to are tried once. With
 	// twelve, what is left of a simulated fleet of 300 after the loss of two thirds finds
 	// itself in 10 rounds in place of 40.
-	lostTried = 12
-	// widenEvery is how long an instance tries the hubs of a zone before it tries twice as
+	maxLostTried = 12
+	// widenInterval is how long an instance tries the hubs of a zone before it tries twice as
 	// many: when most of a zone are lost at once, those that are left must find each other
 	// among the addresses of the lost ones, which may not even refuse a connection.
-	widenEvery = 200 * time.Millisecond
-	// mostWidened bounds how often it does so: to 192 instances, more than a zone has.
-	mostWidened = 6
-	// hubsFor is how long hubs are remembered: candidates change with time, too.
-	hubsFor = time.Second
+	widenInterval = 200 * time.Millisecond
+	// maxWidenSteps bounds how often it does so: to 192 instances, more than a zone has.
+	maxWidenSteps = 6
+	// hubCachePeriod is how long hubs are remembered: candidates change with time, too.
+	hubCachePeriod = time.Second
 )
 
 // Overlay is a table with the plan that follows from it. It isn't safe for concurrent use.
@@ -44,28 +44,28 @@
 	*Table
 	seeds   []string // in the order in which they are tried
 	started time.Time
-	draw    *rand.Rand
+	random  *rand.Rand
 
-	hubs   map[string][]string // by zone
-	lost   map[string][]string // by zone, some that nobody vouches for any more
-	hubsOf uint64              // the table's change at which they were worked out
-	hubsAt time.Time
-	wanted map[string]time.Time // since when hubs that others may link to are wanted
-	found  map[string]bool      // by zone, whether a hub of it has ever told anything
-	apart  map[string]time.Time // by zone, since when no hub of it has told anything
+	hubs           map[string][]string // by zone
+	lost           map[string][]string // by zone, some that nobody vouches for any more
+	hubsChange     uint64              // the table's change at which they were worked out
+	hubsAt         time.Time
+	hubWantedSince map[string]time.Time // since when hubs that others may link to are wanted
+	zoneFound      map[string]bool      // by zone, whether a hub of it has ever told anything
+	zoneLostSince  map[string]time.Time // by zone, since when no hub of it has told anything
 }
 
 // NewOverlay returns the plan of an instance that has just started. Draw is for what needn't
 // be the same everywhere.
 func NewOverlay(now time.Time, self Member, draw *rand.Rand) *Overlay {
-	return &Overlay{draw: draw, Table: NewTable(self), started: now, wanted: map[string]time.Time{}, found: map[string]bool{}, apart: map[string]time.Time{}}
+	return &Overlay{random: draw, Table: NewTable(self), started: now, hubWantedSince: map[string]time.Time{}, zoneFound: map[string]bool{}, zoneLostSince: map[string]time.Time{}}
 }
 
 // SetSeeds takes the addresses at which others are to be found. They are tried in an order
 // of this instance's own, so that those that start together don't ask the same one.
 func (o *Overlay) SetSeeds(addresses []string) {
 	o.seeds = slices.Clone(addresses)
-	o.draw.Shuffle(len(o.seeds), func(i, j int) { o.seeds[i], o.seeds[j] = o.seeds[j], o.seeds[i] })
+	o.random.Shuffle(len(o.seeds), func(i, j int) { o.seeds[i], o.seeds[j] = o.seeds[j], o.seeds[i] })
 }
 
 // SeedCount is the number of seeds beside this instance itself.
@@ -95,15 +95,15 @@
 
 // allHubs returns the hubs of each known zone.
 func (o *Overlay) allHubs(now time.Time) map[string][]string {
-	if o.hubs != nil && o.hubsOf == o.change && now.Sub(o.hubsAt) < hubsFor {
+	if o.hubs != nil && o.hubsChange == o.change && now.Sub(o.hubsAt) < hubCachePeriod {
 		return o.hubs
 	}
 	o.hubs, o.lost = map[string][]string{}, map[string][]string{}
-	for zone, c := range o.candidates(now, lostTried) {
-		o.lost[zone] = c.lately.addresses()
-		o.hubs[zone] = c.first(HubsPerZone)
+	for zone, c := range o.candidates(now, maxLostTried) {
+		o.lost[zone] = c.recent.addresses()
+		o.hubs[zone] = c.strongest(HubsPerZone)
 	}
-	o.hubsOf, o.hubsAt = o.change, now
+	o.hubsChange, o.hubsAt = o.change, now
 	return o.hubs
 }
 
@@ -122,7 +122,7 @@
 	own := rankedOf(&o.self)
 	before := 0
 	for _, e := range o.members {
-		if e.Zone == o.self.Zone && !e.Draining && o.inReach(now, e) && compareRanked(rankedOf(&e.Member), own) < 0 {
+		if e.Zone == o.self.Zone && !e.Draining && o.isReachable(now, e) && compareRanked(rankedOf(&e.Member), own) < 0 {
 			before++
 		}
 	}
@@ -135,8 +135,8 @@
 
 // WantedLinks returns the addresses with which links are to be kept now.
 func (o *Overlay) WantedLinks(now time.Time) []string {
-	out := append(o.wantedSeeds(now), o.tried(now, o.self.Zone)...)
-	if o.IsHub(now) && now.Sub(o.started) >= hubAfter {
+	out := append(o.wantedSeeds(now), o.linkTargets(now, o.self.Zone)...)
+	if o.IsHub(now) && now.Sub(o.started) >= hubLinkDelay {
 		out = append(out, o.wantedHubs(now)...)
 	}
 	slices.Sort(out)
@@ -144,45 +144,45 @@
 	return slices.DeleteFunc(out, func(address string) bool { return address == o.self.Address })
 }
 
-// tried returns the instances of a zone with which links are to be kept: its hubs, some that
+// linkTargets returns the instances of a zone with which links are to be kept: its hubs, some that
 // may be hubs if they are still there, and while no hub of the zone has told anything more
 // and more of these.
-func (o *Overlay) tried(now time.Time, zone string) []string {
-	if o.isToldBy(zone) {
-		o.found[zone] = true
-		delete(o.apart, zone)
-		return o.withLost(now, zone)
+func (o *Overlay) linkTargets(now time.Time, zone string) []string {
+	if o.receivesFrom(zone) {
+		o.zoneFound[zone] = true
+		delete(o.zoneLostSince, zone)
+		return o.hubsAndLost(now, zone)
 	}
-	if !o.found[zone] && now.Sub(o.started) < introducedFor {
+	if !o.zoneFound[zone] && now.Sub(o.started) < bootstrapPeriod {
 		return o.allHubs(now)[zone] // it has just started, as the hubs may have
 	}
-	since, known := o.apart[zone]
+	since, known := o.zoneLostSince[zone]
 	if !known {
 		since = now
-		o.apart[zone] = now
+		o.zoneLostSince[zone] = now
 	}
-	widened := min(int(now.Sub(since)/widenEvery), mostWidened)
+	widened := min(int(now.Sub(since)/widenInterval), maxWidenSteps)
 	if widened == 0 {
-		return o.withLost(now, zone)
+		return o.hubsAndLost(now, zone)
 	}
 	most := HubsPerZone << widened
 	c := o.candidates(now, most)[zone]
 	if c == nil {
 		return nil // forgotten
 	}
-	return c.first(most)
+	return c.strongest(most)
 }
 
-// withLost returns the hubs of a zone with some that were lost lately.
-func (o *Overlay) withLost(now time.Time, zone string) []string {
+// hubsAndLost returns the hubs of a zone with some that were lost lately.
+func (o *Overlay) hubsAndLost(now time.Time, zone string) []string {
 	hubs := o.allHubs(now)[zone]
 	return append(slices.Clone(hubs), o.lost[zone]...)
 }
 
-// isToldBy tells whether a hub of a zone tells this instance of others.
-func (o *Overlay) isToldBy(zone string) bool {
+// receivesFrom tells whether a hub of a zone tells this instance of others.
+func (o *Overlay) receivesFrom(zone string) bool {
 	for peer, s := range o.sources {
-		if e := o.members[peer]; e != nil && e.Zone == zone && s.kind != None && s.until.IsZero() {
+		if e := o.members[peer]; e != nil && e.Zone == zone && s.kind != None && s.expires.IsZero() {
 			return true
 		}
 	}
@@ -196,18 +196,18 @@
 		if zone == o.self.Zone {
 			continue
 		}
-		for _, hub := range o.tried(now, zone) {
-			first, before := o.wanted[hub]
+		for _, hub := range o.linkTargets(now, zone) {
+			first, before := o.hubWantedSince[hub]
 			if !before {
 				first = now
 			}
 			since[hub] = first
-			if o.self.Address < hub || now.Sub(first) >= laterFor {
+			if o.self.Address < hub || now.Sub(first) >= dialDelay {
 				out = append(out, hub)
 			}
 		}
 	}
-	o.wanted = since
+	o.hubWantedSince = since
 	return out
 }
 
@@ -215,18 +215,18 @@
 // started, and by others one after the other until a hub of the zone is linked to.
 func (o *Overlay) wantedSeeds(now time.Time) []string {
 	age := now.Sub(o.started)
-	if o.IsSeed() && age < startFor {
+	if o.IsSeed() && age < startupPeriod {
 		return slices.Clone(o.seeds)
 	}
-	if o.knowsWay(now) {
+	if o.hasJoined(now) {
 		return nil
 	}
-	return slices.Clone(o.seeds[:min(len(o.seeds), 1+int(age/seedEvery))])
+	return slices.Clone(o.seeds[:min(len(o.seeds), 1+int(age/seedInterval))])
 }
 
-// knowsWay tells whether the instance has found the fleet: it is linked to a hub of its zone,
+// hasJoined tells whether the instance has found the fleet: it is linked to a hub of its zone,
 // or is a hub itself and linked to anybody.
-func (o *Overlay) knowsWay(now time.Time) bool {
+func (o *Overlay) hasJoined(now time.Time) bool {
 	hub := o.IsHub(now)
 	for _, e := range o.members {
 		if e.linked && (hub || o.isHub(now, o.self.Zone, e.Address)) {
@@ -245,7 +245,7 @@
 	}
 	var out []string
 	for _, e := range o.members {
-		if !o.inReach(now, e) {
+		if !o.isReachable(now, e) {
 			out = append(out, e.Address)
 		}
 	}
@@ -258,7 +258,7 @@
 		return "", false
 	}
 	slices.Sort(out) // the draw alone decides
-	return out[o.draw.IntN(len(out))], true
+	return out[o.random.IntN(len(out))], true
 }
 
 // KindFor returns what kind of telling a linked peer gets all the time.
@@ -288,5 +288,5 @@
 	if e == nil || o.KindFor(now, peer) == Indirect {
 		return false
 	}
-	return now.Sub(e.Started) < startFor || knowsFew*known < o.KnownCount()
+	return now.Sub(e.Started) < startupPeriod || bootstrapRatio*known < o.KnownCount()
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -6,17 +6,17 @@
 	// HubsPerZone is how many hubs an availability zone has: one may be lost and one stand
 	// still while the third still vouches for the zone.
 	HubsPerZone = 3
-	// introducedFor is how long an instance that was introduced counts as within reach
+	// bootstrapPeriod is how long an instance that was introduced counts as within reach
 	// before anybody vouches for it: links to hubs are up within some 0.1 s, in a fleet that
 	// starts all at once within a second.
-	introducedFor = 2 * time.Second
-	// candidateFor is how long an instance that nobody vouches for any more may still be
+	bootstrapPeriod = 2 * time.Second
+	// candidatePeriod is how long an instance that nobody vouches for any more may still be
 	// taken for a hub, unless a link to it has failed. When all hubs of a zone are lost at
 	// once, its instances choose the next ones out of what the lost ones told last.
-	candidateFor = 10 * time.Second
-	// holdFor is how long what the last hub of the own zone told still counts after its link
+	candidatePeriod = 10 * time.Second
+	// holdPeriod is how long what the last hub of the own zone told still counts after its link
 	// has ended: until the next hubs are linked to and have told.
-	holdFor = time.Second
+	holdPeriod = time.Second
 	// forgetAfter is how long an instance is known that nobody vouches for. One that is cut
 	// off is back within it, and is still counted as a part of the fleet meanwhile.
 	forgetAfter = time.Minute
@@ -32,9 +32,9 @@
 
 // source is what one peer has told and hasn't taken back.
 type source struct {
-	kind  Kind
-	alive map[string]uint64 // incarnations by address
-	until time.Time         // it counts, after its link has ended; zero before
+	kind     Kind
+	attested map[string]uint64 // incarnations by address
+	expires  time.Time         // it counts, after its link has ended; zero before
 }
 
 // Status of a member.
@@ -74,9 +74,9 @@
 	if e.Incarnation == m.Incarnation {
 		m.Draining = e.Draining // told by heartbeats
 	}
-	e.adopt(m, true)
+	e.update(m, true)
 	e.linked = true
-	t.weigh(now, e)
+	t.reevaluate(now, e)
 }
 
 // SetDraining notes what a member says of itself.
@@ -86,16 +86,16 @@
 		return
 	}
 	e.Draining = drains
-	t.weigh(now, e)
+	t.reevaluate(now, e)
 }
 
 // LinkDown notes that the last link to a member has ended: it vouches for nobody any more.
 func (t *Table) LinkDown(now time.Time, address string) {
-	t.hold(now, address)
+	t.dropOrHoldSource(now, address)
 	t.LinkFailed(now, address)
 	if e := t.members[address]; e != nil {
 		e.linked = false
-		t.weigh(now, e)
+		t.reevaluate(now, e)
 	}
 }
 
@@ -103,24 +103,24 @@
 // isn't taken for a hub.
 func (t *Table) LinkFailed(now time.Time, address string) {
 	if e := t.members[address]; e != nil {
-		e.failed = now
+		e.linkFailedAt = now
 	}
 }
 
-// hold takes back what a peer has told, at once or, where it was the last that told of the
+// dropOrHoldSource takes back what a peer has told, at once or, where it was the last that told of the
 // whole fleet, after a while.
-func (t *Table) hold(now time.Time, peer string) {
+func (t *Table) dropOrHoldSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	e := t.members[peer]
-	if s == nil || s.kind != Indirect || e == nil || e.Zone != t.self.Zone || t.reachedSources() > 1 {
-		t.drop(now, peer)
+	if s == nil || s.kind != Indirect || e == nil || e.Zone != t.self.Zone || t.indirectSources() > 1 {
+		t.dropSource(now, peer)
 		return
 	}
-	s.until = now.Add(holdFor)
-	delete(s.alive, peer)
+	s.expires = now.Add(holdPeriod)
+	delete(s.attested, peer)
 }
 
-func (t *Table) reachedSources() (n int) {
+func (t *Table) indirectSources() (n int) {
 	for _, s := range t.sources {
 		if s.kind == Indirect {
 			n++
@@ -129,31 +129,31 @@
 	return n
 }
 
-// release drops what was held of other peers, once it is too old or somebody has told anew.
-func (t *Table) release(now time.Time, all bool) {
+// dropHeldSources drops what was held of other peers, once it is too old or somebody has told anew.
+func (t *Table) dropHeldSources(now time.Time, all bool) {
 	for peer, s := range t.sources {
-		if !s.until.IsZero() && (all || now.After(s.until)) {
-			t.drop(now, peer)
+		if !s.expires.IsZero() && (all || now.After(s.expires)) {
+			t.dropSource(now, peer)
 		}
 	}
 }
 
 // Tick lets time pass: it forgets members for which nobody has vouched for long.
 func (t *Table) Tick(now time.Time) {
-	t.release(now, false)
+	t.dropHeldSources(now, false)
 	t.forget(now)
 }
 
-// drop takes back all that a peer has told.
-func (t *Table) drop(now time.Time, peer string) {
+// dropSource takes back all that a peer has told.
+func (t *Table) dropSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	delete(t.sources, peer)
 	if s == nil {
 		return
 	}
-	for address := range s.alive {
+	for address := range s.attested {
 		if e := t.members[address]; e != nil {
-			t.weigh(now, e)
+			t.reevaluate(now, e)
 		}
 	}
 }
@@ -161,63 +161,63 @@
 // Merge takes what a peer tells.
 func (t *Table) Merge(now time.Time, from string, told *Update) {
 	if told.Kind == Bootstrap {
-		t.meet(now, told.Records)
+		t.mergeBootstrap(now, told.Records)
 		return
 	}
 	s := t.sources[from]
 	if s == nil || told.Full || s.kind != told.Kind {
-		t.drop(now, from)
-		s = &source{kind: told.Kind, alive: map[string]uint64{}}
+		t.dropSource(now, from)
+		s = &source{kind: told.Kind, attested: map[string]uint64{}}
 		t.sources[from] = s
 	}
-	defer t.release(now, told.Kind == Indirect)
+	defer t.dropHeldSources(now, told.Kind == Indirect)
 	for i := range told.Records {
-		t.hearOne(now, s, &told.Records[i])
+		t.mergeRecord(now, s, &told.Records[i])
 	}
 }
 
-func (t *Table) hearOne(now time.Time, s *source, n *Record) {
+func (t *Table) mergeRecord(now time.Time, s *source, n *Record) {
 	if n.Address == "" || n.Address == t.self.Address {
 		return
 	}
 	if n.Removed {
-		delete(s.alive, n.Address)
+		delete(s.attested, n.Address)
 		if e := t.members[n.Address]; e != nil {
-			t.weigh(now, e)
+			t.reevaluate(now, e)
 		}
 		return
 	}
 	e := t.entry(n.Address)
-	if !e.adopt(t.heard(now, e, n), false) {
+	if !e.update(t.receivedMember(now, e, n), false) {
 		return
 	}
-	known := s.alive[n.Address] == n.Incarnation
-	s.alive[n.Address] = n.Incarnation
+	known := s.attested[n.Address] == n.Incarnation
+	s.attested[n.Address] = n.Incarnation
 	if known {
-		t.weighIfNew(now, e)
+		t.reevaluateIfChanged(now, e)
 		return
 	}
-	t.weigh(now, e)
+	t.reevaluate(now, e)
 }
 
-// meet takes introductions.
-func (t *Table) meet(now time.Time, news []Record) {
+// mergeBootstrap takes introductions.
+func (t *Table) mergeBootstrap(now time.Time, news []Record) {
 	for i := range news {
 		n := &news[i]
 		if n.Address == "" || n.Address == t.self.Address || n.Removed {
 			continue
 		}
 		e := t.entry(n.Address)
-		if e.adopt(t.heard(now, e, n), false) {
-			e.introduced = now
-			t.weighIfNew(now, e)
+		if e.update(t.receivedMember(now, e, n), false) {
+			e.bootstrappedAt = now
+			t.reevaluateIfChanged(now, e)
 		}
 	}
 }
 
-// heard returns the member that news is of. What an instance itself says of draining goes
+// receivedMember returns the member that news is of. What an instance itself says of draining goes
 // before what others say.
-func (t *Table) heard(now time.Time, e *entry, n *Record) Member {
+func (t *Table) receivedMember(now time.Time, e *entry, n *Record) Member {
 	m := n.member(now)
 	if e.linked && e.Incarnation == m.Incarnation {
 		m.Draining = e.Draining
@@ -234,62 +234,62 @@
 	return e
 }
 
-// weigh works out anew who vouches for a member, and notes whether that or the member itself
+// reevaluate works out anew who vouches for a member, and notes whether that or the member itself
 // has changed.
-func (t *Table) weigh(now time.Time, e *entry) {
+func (t *Table) reevaluate(now time.Time, e *entry) {
 	was := e.alive
-	e.reached, e.alive = e.linked, e.linked
+	e.hubLinked, e.alive = e.linked, e.linked
 	for _, s := range t.sources {
-		if incarnation, told := s.alive[e.Address]; told && incarnation == e.Incarnation {
+		if incarnation, told := s.attested[e.Address]; told && incarnation == e.Incarnation {
 			e.alive = true
-			e.reached = e.reached || s.kind == Direct
+			e.hubLinked = e.hubLinked || s.kind == Direct
 		}
 	}
 	if was || e.alive {
-		e.lastAlive = now
-		e.vouched = true
+		e.lastAliveAt = now
+		e.everAlive = true
 	}
-	known := weighed{e.Member, e.linked, e.reached, e.alive}
-	if e.changed == 0 || known != e.told {
+	known := publishedState{e.Member, e.linked, e.hubLinked, e.alive}
+	if e.changedAt == 0 || known != e.published {
 		t.change++
-		e.changed = t.change
-		e.told = known
+		e.changedAt = t.change
+		e.published = known
 	}
 }
 
-// weighIfNew weighs a member for which nobody else vouches than before, if it has changed.
-func (t *Table) weighIfNew(now time.Time, e *entry) {
-	if e.changed == 0 || e.Member != e.told.Member {
-		t.weigh(now, e)
+// reevaluateIfChanged weighs a member for which nobody else vouches than before, if it has changed.
+func (t *Table) reevaluateIfChanged(now time.Time, e *entry) {
+	if e.changedAt == 0 || e.Member != e.published.Member {
+		t.reevaluate(now, e)
 	}
 }
 
-// inReach tells whether a member counts as within reach.
-func (t *Table) inReach(now time.Time, e *entry) bool {
-	hoped := !e.vouched && e.introduced.After(e.failed) && now.Sub(e.introduced) < introducedFor
+// isReachable tells whether a member counts as within reach.
+func (t *Table) isReachable(now time.Time, e *entry) bool {
+	hoped := !e.everAlive && e.bootstrappedAt.After(e.linkFailedAt) && now.Sub(e.bootstrappedAt) < bootstrapPeriod
 	return e.alive || hoped
 }
 
 // Reachable tells whether a member is known to be within reach.
 func (t *Table) Reachable(now time.Time, address string) bool {
 	e := t.members[address]
-	return e != nil && t.inReach(now, e)
+	return e != nil && t.isReachable(now, e)
 }
 
 // Members returns all that are known, in no order.
 func (t *Table) Members(now time.Time) []Status {
 	out := make([]Status, 0, len(t.members))
 	for _, e := range t.members {
-		out = append(out, Status{Member: e.Member, Reachable: t.inReach(now, e)})
+		out = append(out, Status{Member: e.Member, Reachable: t.isReachable(now, e)})
 	}
 	return out
 }
 
 func (t *Table) forget(now time.Time) {
 	for address, e := range t.members {
-		last := e.lastAlive
-		if e.introduced.After(last) {
-			last = e.introduced
+		last := e.lastAliveAt
+		if e.bootstrappedAt.After(last) {
+			last = e.bootstrappedAt
 		}
 		if !e.alive && now.Sub(last) > forgetAfter {
 			delete(t.members, address)
@@ -306,21 +306,21 @@
 		return told, t.change
 	}
 	for _, e := range t.members {
-		gone := !t.tells(now, k, e)
-		if e.changed > since && (!gone || since > 0) {
-			told.Records = append(told.Records, e.news(now, gone))
+		gone := !t.includes(now, k, e)
+		if e.changedAt > since && (!gone || since > 0) {
+			told.Records = append(told.Records, e.record(now, gone))
 		}
 	}
 	return told, t.change
 }
 
-// tells tells whether a member belongs in a telling of a kind.
-func (t *Table) tells(now time.Time, k Kind, e *entry) bool {
+// includes includes whether a member belongs in a telling of a kind.
+func (t *Table) includes(now time.Time, k Kind, e *entry) bool {
 	switch k {
 	case Direct:
 		return e.linked && e.Zone == t.self.Zone
 	case Indirect:
-		return e.reached
+		return e.hubLinked
 	default:
 		return e.alive
 	}
--- a/internal/routing/build.go
+++ b/internal/routing/build.go
@@ -19,7 +19,7 @@
 		Limits:   d.Limits,
 		byHost:   map[string][]*Route{},
 		services: make(map[string]*Service, len(d.Services)),
-		holders:  map[string]*Organisation{},
+		byKey:    map[string]*Organisation{},
 	}}
 	b.limits(d.Limits)
 	for i := range d.Services {
@@ -83,15 +83,15 @@
 		b.fault("route %s needs at least one attempt", r.Name)
 	case r.Rank < 0:
 		b.fault("route %s has a negative priority", r.Name)
-	case b.splits(r):
+	case b.checkServices(r):
 		r.Host = NormaliseHost(r.Host)
 		b.table.byHost[r.Host] = append(b.table.byHost[r.Host], r)
 		b.table.routes++
 	}
 }
 
-// splits checks where a route's requests go.
-func (b *builder) splits(r *Route) bool {
+// checkServices checks where a route's requests go.
+func (b *builder) checkServices(r *Route) bool {
 	total := 0
 	for _, s := range r.Services {
 		if b.table.services[s.Service] == nil {
@@ -121,11 +121,11 @@
 		return
 	}
 	for _, key := range o.Keys {
-		if holder := b.table.holders[key]; holder != nil && holder != o {
+		if holder := b.table.byKey[key]; holder != nil && holder != o {
 			b.fault("organisations %s and %s hold the same key", holder.Name, o.Name)
 			return
 		}
-		b.table.holders[key] = o
+		b.table.byKey[key] = o
 	}
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -153,7 +153,7 @@
 	Limits   Limits
 	byHost   map[string][]*Route // longest prefix first
 	services map[string]*Service
-	holders  map[string]*Organisation
+	byKey    map[string]*Organisation
 	routes   int
 }
 
@@ -177,7 +177,7 @@
 }
 
 // OrganisationByKey returns the organisation that an API key belongs to, or nil.
-func (t *Table) OrganisationByKey(key string) *Organisation { return t.holders[key] }
+func (t *Table) OrganisationByKey(key string) *Organisation { return t.byKey[key] }
 
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/internal/view/changes.go
+++ b/internal/view/changes.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// mostNamed bounds the upstreams that one line of the log names.
-const mostNamed = 12
+// maxNamed bounds the upstreams that one line of the log names.
+const maxNamed = 12
 
 // ListChange is what one step has changed of the list.
 type ListChange struct {
@@ -34,24 +34,24 @@
 	cold     state = "cold"
 )
 
-// former is an upstream as it was before a step.
-type former struct {
-	entry  Upstream
-	listed bool
-	state  state
-	cold   time.Time
-	news   bool // peers may not know what the step tells, though it changes nothing here
+// previousState is an upstream as it was before a step.
+type previousState struct {
+	entry       Upstream
+	listed      bool
+	state       state
+	cold        time.Time
+	notifyPeers bool // peers may not know what the step tells, though it changes nothing here
 }
 
-// touch notes an upstream as it was, before a step changes it for the first time. What a step costs
+// recordChange notes an upstream as it was, before a step changes it for the first time. What a step costs
 // grows with what it touches.
-func (r *roster) touch(now time.Time, id string) *former {
-	if noted := r.touched[id]; noted != nil {
+func (r *roster) recordChange(now time.Time, id string) *previousState {
+	if noted := r.pending[id]; noted != nil {
 		return noted
 	}
 	u, listed := r.entries[id]
-	noted := &former{entry: u, listed: listed, state: r.stateOf(now, id), cold: r.cold[id]}
-	r.touched[id] = noted
+	noted := &previousState{entry: u, listed: listed, state: r.stateOf(now, id), cold: r.cold[id]}
+	r.pending[id] = noted
 	return noted
 }
 
@@ -59,44 +59,44 @@
 func (r *roster) commit(now time.Time) (c ListChange, states string) {
 	c.Version = r.version
 	var named []string
-	for id, before := range r.touched {
+	for id, before := range r.pending {
 		u, listed := r.entries[id]
 		after := r.stateOf(now, id)
-		r.sums.replace(before, u, after)
+		r.checksums.replace(before, u, after)
 		if after != before.state {
 			named = append(named, id+" "+string(after))
 		}
 		cold := r.cold[id] != before.cold
-		if before.news || cold || after != before.state || u != before.entry {
-			r.log(id)
+		if before.notifyPeers || cold || after != before.state || u != before.entry {
+			r.logChange(id)
 		}
 		switch {
 		case before.listed && !listed:
 			c.Removed = append(c.Removed, id)
-		case listed && (!before.listed || cold || !u.says(before.entry)):
-			u.Cold = r.coldFor(now, id)
+		case listed && (!before.listed || cold || !u.equalContent(before.entry)):
+			u.Cold = r.coldRemaining(now, id)
 			c.Changed = append(c.Changed, u)
 		}
 	}
-	if len(r.touched) > 0 {
-		r.touched = map[string]*former{}
+	if len(r.pending) > 0 {
+		r.pending = map[string]*previousState{}
 	}
 	slices.SortFunc(c.Changed, func(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	slices.Sort(c.Removed)
-	return c, inWords(named)
+	return c, formatStates(named)
 }
 
-// says tells whether an entry says the same of its upstream as another one.
-func (u Upstream) says(other Upstream) bool {
+// equalContent tells whether an entry equalContent the same of its upstream as another one.
+func (u Upstream) equalContent(other Upstream) bool {
 	u.Revision, u.Sequence = other.Revision, other.Sequence
 	return u == other
 }
 
-// inWords names the upstreams whose state has changed, in order, with the new one.
-func inWords(named []string) string {
+// formatStates names the upstreams whose state has changed, in order, with the new one.
+func formatStates(named []string) string {
 	slices.Sort(named)
-	if more := len(named) - mostNamed; more > 0 {
-		named = append(named[:mostNamed], fmt.Sprintf("%d more", more))
+	if more := len(named) - maxNamed; more > 0 {
+		named = append(named[:maxNamed], fmt.Sprintf("%d more", more))
 	}
 	return strings.Join(named, ", ")
 }
@@ -126,28 +126,28 @@
 	return now.Sub(r.asOf)
 }
 
-// logged is an upstream of which a step has told something.
-type logged struct {
+// changeRecord is an upstream of which a step has told something.
+type changeRecord struct {
 	id      string
 	version int64 // of the list after the step
 }
 
-// leastLogged is how many of the last changes are known at least.
-const leastLogged = 256
+// minChanges is how many of the last changes are known at least.
+const minChanges = 256
 
-// log notes that something is known of an upstream since the list's version of today. The oldest notes are
+// logChange notes that something is known of an upstream since the list's version of today. The oldest notes are
 // dropped once there are more of them than upstreams: a whole list is smaller then.
-func (r *roster) log(id string) {
-	r.changes = append(r.changes, logged{id, r.version})
-	if most := max(len(r.entries), leastLogged); len(r.changes) > 2*most {
-		r.forgotten = r.changes[len(r.changes)-most-1].version
+func (r *roster) logChange(id string) {
+	r.changes = append(r.changes, changeRecord{id, r.version})
+	if most := max(len(r.entries), minChanges); len(r.changes) > 2*most {
+		r.droppedUpTo = r.changes[len(r.changes)-most-1].version
 		r.changes = slices.Clone(r.changes[len(r.changes)-most:])
 	}
 }
 
 // changedSince returns the IDs of upstreams of which something has become known since a version, in order.
 func (r *roster) changedSince(version int64) []string {
-	first, _ := slices.BinarySearchFunc(r.changes, version+1, func(l logged, from int64) int { return cmp.Compare(l.version, from) })
+	first, _ := slices.BinarySearchFunc(r.changes, version+1, func(l changeRecord, from int64) int { return cmp.Compare(l.version, from) })
 	ids := make(map[string]bool, len(r.changes)-first)
 	for _, l := range r.changes[first:] {
 		ids[l.id] = true
--- a/internal/view/evacuations.go
+++ b/internal/view/evacuations.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// restoredHold is how long an evacuation is believed that the source had before it came back from a copy, and doesn't
+// holdAfterRestore is how long an evacuation is believed that the source had before it came back from a copy, and doesn't
 // have now: operators write it again, or have taken the zone back meanwhile.
-const restoredHold = 30 * time.Second
+const holdAfterRestore = 30 * time.Second
 
-// rewrittenHold is the same once a configuration that is newer than the one before the return shows that operators have
+// holdAfterRewrite is the same once a configuration that is newer than the one before the return shows that operators have
 // written again: evacuations come beside it.
-const rewrittenHold = 5 * time.Second
+const holdAfterRewrite = 5 * time.Second
 
 // Evacuations are the availability zones whose upstreams are to get nothing new.
 type Evacuations struct {
@@ -53,16 +53,16 @@
 	held map[string]time.Time
 	// resolved are zones that this era has had, or that were held for long enough.
 	resolved map[string]bool
-	// before is the version that was known last of earlier eras, and until when such are held.
-	before    int64
-	holdUntil time.Time
-	expiry    *time.Timer // nil until a zone was held
+	// previousVersion is the version that was known last of earlier eras, and until when such are held.
+	previousVersion int64
+	holdUntil       time.Time
+	releaseTimer    *time.Timer // nil until a zone was held
 }
 
 // SetEvacuations implements Sink: it takes all zones that are evacuated, as the source had them at a
 // revision.
 func (v *View) SetEvacuations(zones []string, revision int64) {
-	v.learnEvacuations(Evacuations{Version: revision, Zones: zones}, "source")
+	v.receiveEvacuations(Evacuations{Version: revision, Zones: zones}, "source")
 }
 
 // ApplyZoneChanges implements Sink: it takes what has changed, in order, up to a revision. What is known
@@ -88,11 +88,11 @@
 		}
 	}
 	v.mu.Unlock()
-	v.learnEvacuations(Evacuations{Version: complete, Zones: zones}, "source")
+	v.receiveEvacuations(Evacuations{Version: complete, Zones: zones}, "source")
 }
 
 // MergeEvacuations takes what a peer believes, if it is newer.
-func (v *View) MergeEvacuations(e Evacuations, peer string) { v.learnEvacuations(e, "peer "+peer) }
+func (v *View) MergeEvacuations(e Evacuations, peer string) { v.receiveEvacuations(e, "peer "+peer) }
 
 // CurrentEvacuations returns what is believed. Zones are not to be changed.
 func (v *View) CurrentEvacuations() Evacuations {
@@ -109,15 +109,15 @@
 	return out
 }
 
-// learnEvacuations takes all zones as of a revision, unless a later one is known. Who uses them is
+// receiveEvacuations takes all zones as of a revision, unless a later one is known. Who uses them is
 // told, and the log, if any has changed.
-func (v *View) learnEvacuations(told Evacuations, from string) {
+func (v *View) receiveEvacuations(told Evacuations, from string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := &v.evacuations
 	before, version := e.all, e.version
-	e.learn(v.o.Now(), told)
-	v.applyEvacuations(before, version, from)
+	e.merge(v.o.Now(), told)
+	v.publishEvacuations(before, version, from)
 }
 
 // releaseHeld ends what was held for long enough.
@@ -127,15 +127,15 @@
 	e := &v.evacuations
 	before := e.all
 	e.release(v.o.Now())
-	v.applyEvacuations(before, e.version, "held for long enough")
+	v.publishEvacuations(before, e.version, "held for long enough")
 }
 
-// applyEvacuations tells of a change, and looks again when the first zone that is held has been for long enough. The
+// publishEvacuations tells of a change, and looks again when the first zone that is held has been for long enough. The
 // caller holds the lock.
-func (v *View) applyEvacuations(before []string, version int64, from string) {
+func (v *View) publishEvacuations(before []string, version int64, from string) {
 	e := &v.evacuations
-	e.all = e.believed()
-	v.releaseInTime()
+	e.all = e.effective()
+	v.scheduleRelease()
 	if slices.Equal(before, e.all) {
 		return
 	}
@@ -152,37 +152,37 @@
 	}
 }
 
-// releaseInTime lets releaseHeld be called when the first zone has been held for long enough. The caller holds the lock.
-func (v *View) releaseInTime() {
+// scheduleRelease lets releaseHeld be called when the first zone has been held for long enough. The caller holds the lock.
+func (v *View) scheduleRelease() {
 	e := &v.evacuations
 	if len(e.held) == 0 {
 		return
 	}
 	left := slices.MinFunc(slices.Collect(maps.Values(e.held)), time.Time.Compare).Sub(v.o.Now())
-	if e.expiry == nil {
-		e.expiry = time.AfterFunc(left, v.releaseHeld)
+	if e.releaseTimer == nil {
+		e.releaseTimer = time.AfterFunc(left, v.releaseHeld)
 		return
 	}
-	e.expiry.Reset(left)
+	e.releaseTimer.Reset(left)
 }
 
-// learn takes what somebody believes. What an earlier era had is held for a while where it isn't known here to have
+// merge takes what somebody believes. What an earlier era had is held for a while where it isn't known here to have
 // ended.
-func (e *evacuations) learn(now time.Time, told Evacuations) {
+func (e *evacuations) merge(now time.Time, told Evacuations) {
 	published := told.published()
 	switch {
 	case told.Version > e.version:
 		if e.version > 0 && EpochOf(told.Version) > EpochOf(e.version) {
-			e.enterEra(now)
+			e.enterEpoch(now)
 		}
 		e.version, e.published = told.Version, published
-	case EpochOf(told.Version) < EpochOf(e.version) && told.Version > e.before && now.Before(e.holdUntil):
-		e.before = told.Version
+	case EpochOf(told.Version) < EpochOf(e.version) && told.Version > e.previousVersion && now.Before(e.holdUntil):
+		e.previousVersion = told.Version
 		e.hold(published, e.holdUntil)
 	}
 	if EpochOf(told.Version) == EpochOf(e.version) {
 		for zone, left := range told.Held {
-			e.hold([]string{zone}, now.Add(min(left, restoredHold)))
+			e.hold([]string{zone}, now.Add(min(left, holdAfterRestore)))
 		}
 	}
 	for _, zone := range e.published {
@@ -190,17 +190,17 @@
 	}
 }
 
-// enterEra holds what the era before had.
-func (e *evacuations) enterEra(now time.Time) {
+// enterEpoch holds what the era before had.
+func (e *evacuations) enterEpoch(now time.Time) {
 	before := e.published
-	e.before, e.holdUntil = e.version, now.Add(restoredHold)
+	e.previousVersion, e.holdUntil = e.version, now.Add(holdAfterRestore)
 	e.resolved = map[string]bool{}
 	e.hold(before, e.holdUntil)
 }
 
-// rewritten is called when operators have written again in this era: what they hold on to comes beside it.
-func (e *evacuations) rewritten(now time.Time) {
-	until := now.Add(rewrittenHold)
+// shortenHold is called when operators have written again in this era: what they hold on to comes beside it.
+func (e *evacuations) shortenHold(now time.Time) {
+	until := now.Add(holdAfterRewrite)
 	if until.Before(e.holdUntil) {
 		e.holdUntil = until
 	}
@@ -244,7 +244,7 @@
 	}
 }
 
-// believed returns all zones that count as evacuated, in order.
-func (e *evacuations) believed() []string {
+// effective returns all zones that count as evacuated, in order.
+func (e *evacuations) effective() []string {
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(e.published, slices.Collect(maps.Keys(e.held))))))
 }
--- a/internal/view/evacuations_test.go
+++ b/internal/view/evacuations_test.go
@@ -87,14 +87,14 @@
 	now := time.Now()
 	r := newRoster(4 * time.Second)
 	r.replace(now, []Upstream{{ID: "a", Revision: 3, Cold: 3 * time.Second}}, 3)
-	is.Equal(r.coldFor(now.Add(time.Second), "a"), 2*time.Second)
+	is.Equal(r.coldRemaining(now.Add(time.Second), "a"), 2*time.Second)
 	r.replace(now.Add(time.Second), []Upstream{{ID: "a", Revision: 3, Cold: 3 * time.Second}}, 4) // read again
-	is.Equal(r.coldFor(now.Add(time.Second), "a"), 2*time.Second)
+	is.Equal(r.coldRemaining(now.Add(time.Second), "a"), 2*time.Second)
 	peer := newRoster(4 * time.Second)
-	peer.learn(now.Add(time.Second), r.handOver(now.Add(time.Second), KnownState{}))
-	is.Equal(peer.coldFor(now.Add(2*time.Second), "a"), time.Second)
+	peer.merge(now.Add(time.Second), r.listFor(now.Add(time.Second), KnownState{}))
+	is.Equal(peer.coldRemaining(now.Add(2*time.Second), "a"), time.Second)
 	r.apply(now.Add(2*time.Second), []Change{{Upstream: Upstream{ID: "a", Revision: 5}}}, 5)
-	is.Equal(r.coldFor(now.Add(2*time.Second), "a"), time.Duration(0)) // it is warm sooner than it said
+	is.Equal(r.coldRemaining(now.Add(2*time.Second), "a"), time.Duration(0)) // it is warm sooner than it said
 	version := r.version
 	r.replace(now.Add(3*time.Second), []Upstream{{ID: "a", Revision: 7, Cold: 2 * time.Second}}, 7)
 	is.True(r.version > version) // it became cold again, which is news
--- a/internal/view/handover.go
+++ b/internal/view/handover.go
@@ -34,56 +34,56 @@
 	Checksums []uint64
 }
 
-// handOver returns what a peer is to get, by what it has. One that has the list of this version gets none.
-func (r *roster) handOver(now time.Time, have KnownState) List {
-	l := List{Version: r.version, AsOf: r.asOf, Digest: r.sums.listed.Digest()}
+// listFor returns what a peer is to get, by what it has. One that has the list of this version gets none.
+func (r *roster) listFor(now time.Time, have KnownState) List {
+	l := List{Version: r.version, AsOf: r.asOf, Digest: r.checksums.listed.Digest()}
 	switch {
 	case have.Version > r.version:
 	case have.Version == r.version && len(have.Checksums) > 0:
-		l.Chunks = r.sums.listed.unlike(have.Checksums)
-		l.Upstreams = r.those(now, func(u Upstream) bool { return isIn(l.Chunks, u.ID) })
+		l.Chunks = r.checksums.listed.differingChunks(have.Checksums)
+		l.Upstreams = r.filter(now, func(u Upstream) bool { return inChunks(l.Chunks, u.ID) })
 	case have.Version == r.version:
-	case have.WholeOnly, have.Version == 0, have.Version < r.forgotten:
+	case have.WholeOnly, have.Version == 0, have.Version < r.droppedUpTo:
 		l.Upstreams = r.list(now)
 	default:
 		l.Since = have.Version
-		r.addSince(now, &l)
+		r.addChangesSince(now, &l)
 	}
 	for _, u := range l.Upstreams {
 		if until, lapsed := r.missing[u.ID]; lapsed {
-			l.miss(u.ID, max(until.Sub(now), 0))
+			l.addMissing(u.ID, max(until.Sub(now), 0))
 		}
 	}
 	return l
 }
 
-func (l *List) miss(id string, left time.Duration) {
+func (l *List) addMissing(id string, left time.Duration) {
 	if l.Missing == nil {
 		l.Missing = map[string]time.Duration{}
 	}
 	l.Missing[id] = left
 }
 
-// addSince adds to a list what has become known since its version Since.
-func (r *roster) addSince(now time.Time, l *List) {
+// addChangesSince adds to a list what has become known since its version Since.
+func (r *roster) addChangesSince(now time.Time, l *List) {
 	for _, id := range r.changedSince(l.Since) {
 		u, listed := r.entries[id]
 		if !listed {
 			l.Removed = append(l.Removed, id)
 			continue
 		}
-		u.Cold = r.coldFor(now, id)
+		u.Cold = r.coldRemaining(now, id)
 		l.Upstreams = append(l.Upstreams, u)
 	}
 }
 
-// learn takes a peer's list if it is newer. What is missing from it for the time being is
+// merge takes a peer's list if it is newer. What is missing from it for the time being is
 // missing here, too; what this instance has given up already isn't taken back.
-func (r *roster) learn(now time.Time, l List) {
-	if !r.isOfUse(l) {
+func (r *roster) merge(now time.Time, l List) {
+	if !r.isApplicable(l) {
 		return
 	}
-	r.enterEra(now, l.Version)
+	r.enterEpoch(now, l.Version)
 	first := r.version == 0
 	for _, u := range l.Upstreams {
 		left, lapsed := l.Missing[u.ID]
@@ -92,20 +92,20 @@
 		case !lapsed:
 			r.put(now, u)
 		case listed || first:
-			r.lapse(now, u, now.Add(left))
+			r.putMissing(now, u, now.Add(left))
 		}
 	}
-	r.learnVanished(now, l)
+	r.mergeRemovals(now, l)
 	r.version = l.Version
 	r.complete = max(r.complete, l.Version)
 }
 
-// isOfUse tells whether a peer's list is newer than the one at hand, and tells all that lies between. Parts are
+// isApplicable tells whether a peer's list is newer than the one at hand, and tells all that lies between. Parts are
 // of use also where the one at hand has their version and should have been like the peer's.
-func (r *roster) isOfUse(l List) bool {
+func (r *roster) isApplicable(l List) bool {
 	switch {
 	case l.Version == r.version:
-		return l.Chunks != nil && r.unlike == r.version
+		return l.Chunks != nil && r.differsAt == r.version
 	case l.Version < r.version:
 		return false
 	case l.Chunks != nil:
@@ -115,16 +115,16 @@
 	}
 }
 
-// learnVanished lets vanish what a peer's list lacks.
-func (r *roster) learnVanished(now time.Time, l List) {
+// mergeRemovals lets vanish what a peer's list lacks.
+func (r *roster) mergeRemovals(now time.Time, l List) {
 	if l.Since == 0 {
-		r.vanishOthers(now, l.Upstreams, l.Version, func(id string) bool { return l.Chunks == nil || isIn(l.Chunks, id) })
+		r.removeAbsent(now, l.Upstreams, l.Version, func(id string) bool { return l.Chunks == nil || inChunks(l.Chunks, id) })
 		return
 	}
 	for _, id := range l.Removed {
 		if r.entries[id].Revision <= l.Version {
-			r.touch(now, id).news = true
-			r.vanish(now, id)
+			r.recordChange(now, id).notifyPeers = true
+			r.removeOrMarkMissing(now, id)
 		}
 	}
 }
--- a/internal/view/handover_test.go
+++ b/internal/view/handover_test.go
@@ -63,7 +63,7 @@
 	list, revision := manyUpstreams(20), int64(20)
 	reads.SetUpstreams(list, revision, time.Now())
 	learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p")
-	for i := range 3 * leastLogged {
+	for i := range 3 * minChanges {
 		revision++
 		u := list[i%20]
 		u.Revision, u.Slots = revision, i
@@ -84,7 +84,7 @@
 	list, revision := manyUpstreams(3_000), int64(3_000)
 	reads.SetUpstreams(list, revision, time.Now())
 	learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p")
-	learns.change("a fault", func(r *roster, now time.Time) {
+	learns.updateList("a fault", func(r *roster, now time.Time) {
 		r.remove(now, list[5].ID)
 		u := list[6]
 		u.Leaving = true
@@ -95,7 +95,7 @@
 	is.True(!learns.MergeUpstreams(reads.ListFor(learns.KnownState()), "p"))
 	handed := reads.ListFor(learns.KnownState())
 	is.True(len(handed.Chunks) > 0 && len(handed.Chunks) <= 2)
-	is.True(len(handed.Upstreams) < 3_000/parts*4)
+	is.True(len(handed.Upstreams) < 3_000/chunkCount*4)
 	is.True(learns.MergeUpstreams(handed, "p"))
 	is.Equal(learns.List().Upstreams, reads.List().Upstreams)
 	is.Equal(len(learns.KnownState().Checksums), 0)
@@ -235,10 +235,10 @@
 				if !slices.Equal(got, want) {
 					t.Fatalf("seed %d: instance %d believes %+v; published are %+v", seed, i, got, want)
 				}
-				if !slices.EqualFunc(w.followed[i], want, Upstream.says) {
+				if !slices.EqualFunc(w.followed[i], want, Upstream.equalContent) {
 					t.Fatalf("seed %d: instance %d was told %+v; published are %+v", seed, i, w.followed[i], want)
 				}
-				if sums := sumsOf(got); sums != v.upstreams.sums.listed {
+				if sums := sumsOf(got); sums != v.upstreams.checksums.listed {
 					t.Fatalf("seed %d: instance %d has wrong sums", seed, i)
 				}
 			}
@@ -250,7 +250,7 @@
 
 func sumsOf(list []Upstream) (out Checksums) {
 	for _, u := range list {
-		out[partOf(u.ID)] += sumOf(u)
+		out[chunkOf(u.ID)] += checksumOf(u)
 	}
 	return out
 }
@@ -272,7 +272,7 @@
 	is := is.New(t)
 	r := newRoster(4 * time.Second)
 	var list []Upstream
-	for i := range mostNamed + 3 {
+	for i := range maxNamed + 3 {
 		list = append(list, Upstream{ID: fmt.Sprint("i-", i), Revision: 1})
 	}
 	r.replace(time.Now(), list, 1)
--- a/internal/view/restored_test.go
+++ b/internal/view/restored_test.go
@@ -50,8 +50,8 @@
 		"an era":              {3, 7, true},
 		"a negative era":      {-1, 7, false},
 		"a negative revision": {1, -7, false},
-		"too many revisions":  {1, eraSpan, false},
-		"too many eras":       {eraSpan, 1, false},
+		"too many revisions":  {1, epochSpan, false},
+		"too many eras":       {epochSpan, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -63,7 +63,7 @@
 			}
 		})
 	}
-	is.New(t).True(in(1, 1) > in(0, eraSpan-1))
+	is.New(t).True(in(1, 1) > in(0, epochSpan-1))
 }
 
 // A source came back from a copy, gave its revisions out again, and what it published was refused as older, or taken
@@ -159,7 +159,7 @@
 				is.Equal(v.CurrentEvacuations().Zones, both)
 				c.happens(v)
 				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.zones))
-				<-time.After(restoredHold + time.Second)
+				<-time.After(holdAfterRestore + time.Second)
 				synctest.Wait()
 				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.later))
 			})
@@ -176,10 +176,10 @@
 		knows.SetEvacuations([]string{"bole"}, in(1, 40))
 		knows.SetEvacuations(nil, in(2, 21))
 		started.SetEvacuations(nil, in(2, 21))
-		<-time.After(restoredHold / 2)
+		<-time.After(holdAfterRestore / 2)
 		started.MergeEvacuations(knows.CurrentEvacuations(), "p")
 		is.Equal(started.CurrentEvacuations().Zones, []string{"bole"})
-		<-time.After(restoredHold/2 + time.Second)
+		<-time.After(holdAfterRestore/2 + time.Second)
 		synctest.Wait()
 		is.Equal(len(started.CurrentEvacuations().Zones), 0)
 		is.Equal(len(knows.CurrentEvacuations().Zones), 0)
@@ -210,7 +210,7 @@
 		v.applyDoubt("stays", Change{Removed: true, Upstream: Upstream{ID: "stays", Revision: in(1, 9)}}) // of the era before
 		v.ApplyChanges([]Change{{Upstream: entry("started", 2, in(2, 15), false)}, {Upstream: entry("vanished", 4, in(2, 16), false)}}, in(2, 16), time.Now())
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started ready, stays ready, vanished ready")
-		<-time.After(v.upstreams.rewrite + time.Second)
+		<-time.After(v.upstreams.rewritePeriod + time.Second)
 		synctest.Wait()
 		is.Equal(states(v), "before ready, leaves leaving, started ready, stays ready, vanished ready")
 	})
@@ -226,14 +226,14 @@
 		started := Upstream{ID: "a", Slots: 1, Sequence: 1, Revision: in(1, 31)}
 		v.SetUpstreams([]Upstream{started}, in(1, 31), time.Now())
 		v.SetUpstreams(nil, in(2, 14), time.Now())
-		<-time.After(v.upstreams.rewrite + time.Second)
+		<-time.After(v.upstreams.rewritePeriod + time.Second)
 		synctest.Wait()
 		is.Equal(states(v), "")
 		started.Revision = in(2, 20)
 		v.ApplyChanges([]Change{{Upstream: started}}, in(2, 20), time.Now())
 		is.Equal(states(v), "a ready")
 		v.SetUpstreams(nil, in(3, 14), time.Now()) // a second return
-		<-time.After(v.upstreams.rewrite + time.Second)
+		<-time.After(v.upstreams.rewritePeriod + time.Second)
 		synctest.Wait()
 		is.Equal(states(v), "")
 		started.Revision = in(4, 20) // and a third one, with the entry in the copy
@@ -253,11 +253,11 @@
 		v.SetConfiguration(in(1, 41), []byte("48 in force"), time.Now())
 		v.SetEvacuations(nil, in(2, 21))
 		v.SetConfiguration(in(2, 20), []byte("46 of the copy"), time.Now())
-		<-time.After(2 * rewrittenHold)
+		<-time.After(2 * holdAfterRewrite)
 		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"})
 		v.SetConfiguration(in(2, 22), []byte("50 written again"), time.Now())
 		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"}) // it may be written next
-		<-time.After(rewrittenHold + time.Millisecond)
+		<-time.After(holdAfterRewrite + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(v.CurrentEvacuations().Zones), 0)
 	})
@@ -265,7 +265,7 @@
 
 // applyDoubt takes what was read of one upstream.
 func (v *View) applyDoubt(id string, c Change) {
-	v.change("its own word", func(r *roster, now time.Time) { r.applyEntry(now, r.entries[id], c) })
+	v.updateList("its own word", func(r *roster, now time.Time) { r.applyEntry(now, r.entries[id], c) })
 }
 
 // states names what a view believes of all upstreams, in order.
--- a/internal/view/roster.go
+++ b/internal/view/roster.go
@@ -23,40 +23,40 @@
 // though their upstreams live. So an entry that vanishes around an outage is kept as
 // missing until the source has been back for a while, and is handed to peers as such.
 type roster struct {
-	version  int64
-	complete int64     // revision of the source up to which changes are known
-	asOf     time.Time // when the read was sent that showed the list to be current last
-	entries  map[string]Upstream
-	missing  map[string]time.Time // until when each may come back
-	cold     map[string]time.Time // until when each is cold, by its entry
-	settles  time.Time            // until then, what vanishes is missing and not gone
-	restored time.Time            // until then, the source may lack what it has lost
-	rewrite  time.Duration        // in which upstreams write their entries again after a return of the source from a copy
-	left     departures
+	version        int64
+	complete       int64     // revision of the source up to which changes are known
+	asOf           time.Time // when the read was sent that showed the list to be current last
+	entries        map[string]Upstream
+	missing        map[string]time.Time // until when each may come back
+	cold           map[string]time.Time // until when each is cold, by its entry
+	settlesAt      time.Time            // until then, what vanishes is missing and not gone
+	restoringUntil time.Time            // until then, the source may lack what it has lost
+	rewritePeriod  time.Duration        // in which upstreams write their entries again after a return of the source from a copy
+	departed       departures
 
-	touched   map[string]*former // since the last commit, by ID
-	sums      sums               // as of the last commit
-	changes   []logged           // of late, by version
-	forgotten int64              // the version up to which changes aren't known any more
-	unlike    int64              // the version that this list has, and a peer's that differs from it
-	compared  int64              // the version of the list when its parts were compared with a peer's last
+	pending     map[string]*previousState // since the last commit, by ID
+	checksums   rosterChecksums           // as of the last commit
+	changes     []changeRecord            // of late, by version
+	droppedUpTo int64                     // the version up to which changes aren't known any more
+	differsAt   int64                     // the version that this list has, and a peer's that differs from it
+	comparedAt  int64                     // the version of the list when its parts were compared with a peer's last
 }
 
 func newRoster(rewrite time.Duration) roster {
-	return roster{rewrite: rewrite, entries: map[string]Upstream{}, missing: map[string]time.Time{}, cold: map[string]time.Time{}, left: departures{by: map[string]departure{}}, touched: map[string]*former{}}
+	return roster{rewritePeriod: rewrite, entries: map[string]Upstream{}, missing: map[string]time.Time{}, cold: map[string]time.Time{}, departed: departures{by: map[string]departure{}}, pending: map[string]*previousState{}}
 }
 
-func (r *roster) settleBy(t time.Time) { r.settles = t }
+func (r *roster) settleUntil(t time.Time) { r.settlesAt = t }
 
-// enterEra is called with the position of a list. In a new era the source lacks what it has lost, until that is written
+// enterEpoch is called with the position of a list. In a new era the source lacks what it has lost, until that is written
 // again: what is missing isn't gone.
-func (r *roster) enterEra(now time.Time, position int64) {
+func (r *roster) enterEpoch(now time.Time, position int64) {
 	if r.version == 0 || EpochOf(position) <= EpochOf(r.version) {
 		return
 	}
-	r.restored = now.Add(r.rewrite)
-	if r.settles.Before(r.restored) {
-		r.settles = r.restored
+	r.restoringUntil = now.Add(r.rewritePeriod)
+	if r.settlesAt.Before(r.restoringUntil) {
+		r.settlesAt = r.restoringUntil
 	}
 }
 
@@ -66,9 +66,9 @@
 	if revision < r.version {
 		return
 	}
-	r.enterEra(now, revision)
+	r.enterEpoch(now, revision)
 	changed := r.putAll(now, list)
-	if r.vanishOthers(now, list, revision, func(string) bool { return true }) {
+	if r.removeAbsent(now, list, revision, func(string) bool { return true }) {
 		changed = true
 	}
 	if changed {
@@ -100,12 +100,12 @@
 	case c.Unreadable:
 		r.remove(now, known.ID)
 	case c.Removed:
-		r.vanish(now, known.ID)
+		r.removeOrMarkMissing(now, known.ID)
 	default:
 		r.put(now, c.Upstream)
 	}
 	if _, listed := r.entries[known.ID]; !listed {
-		r.left.note(now, known, true, EpochOf(r.version))
+		r.departed.record(now, known, true, EpochOf(r.version))
 	}
 }
 
@@ -114,14 +114,14 @@
 	known, listed := r.entries[u.ID]
 	switch {
 	case listed && u.Revision <= known.Revision:
-		r.touch(now, u.ID).news = true // the whole list had it already, under an older version
+		r.recordChange(now, u.ID).notifyPeers = true // the whole list had it already, under an older version
 	case !listed && u.Revision <= r.complete:
 	case c.Unreadable:
-		r.touch(now, u.ID).news = true
+		r.recordChange(now, u.ID).notifyPeers = true
 		r.remove(now, u.ID)
 	case c.Removed:
-		r.touch(now, u.ID).news = true // peers may list it also where this instance doesn't
-		r.vanish(now, u.ID)
+		r.recordChange(now, u.ID).notifyPeers = true // peers may list it also where this instance doesn't
+		r.removeOrMarkMissing(now, u.ID)
 	default:
 		r.put(now, u)
 	}
@@ -146,12 +146,12 @@
 	case listed && u.writtenBefore(known):
 		known.Revision = u.Revision
 		u = known
-	case !listed && r.left.holds(now, u):
+	case !listed && r.departed.rejects(now, u):
 		return false
 	}
-	r.touch(now, u.ID)
+	r.recordChange(now, u.ID)
 	_, wasMissing := r.missing[u.ID]
-	warmed := (!listed || u.Revision > known.Revision) && r.noteCold(now, u)
+	warmed := (!listed || u.Revision > known.Revision) && r.updateCold(now, u)
 	u.Cold = 0
 	r.entries[u.ID] = u
 	delete(r.missing, u.ID)
@@ -163,9 +163,9 @@
 // than was known without being news: it was on its way for so long, or less.
 const coldTolerance = 250 * time.Millisecond
 
-// noteCold takes how much longer an upstream is cold, by a new entry of it, and tells whether that
+// updateCold takes how much longer an upstream is cold, by a new entry of it, and tells whether that
 // is news.
-func (r *roster) noteCold(now time.Time, u Upstream) (news bool) {
+func (r *roster) updateCold(now time.Time, u Upstream) (news bool) {
 	known, wasCold := r.cold[u.ID]
 	wasCold = wasCold && now.Before(known)
 	if u.Cold <= 0 {
@@ -177,18 +177,20 @@
 	return !wasCold || until.Sub(known).Abs() > coldTolerance
 }
 
-// coldFor returns how much longer an upstream is cold.
-func (r *roster) coldFor(now time.Time, id string) time.Duration { return max(r.cold[id].Sub(now), 0) }
+// coldRemaining returns how much longer an upstream is cold.
+func (r *roster) coldRemaining(now time.Time, id string) time.Duration {
+	return max(r.cold[id].Sub(now), 0)
+}
 
-// lapse takes an entry that is missing at a peer.
-func (r *roster) lapse(now time.Time, u Upstream, until time.Time) {
+// putMissing takes an entry that is missing at a peer.
+func (r *roster) putMissing(now time.Time, u Upstream, until time.Time) {
 	known, listed := r.entries[u.ID]
 	if u.Revision < known.Revision {
 		return
 	}
-	r.touch(now, u.ID)
+	r.recordChange(now, u.ID)
 	if !listed || u.Revision > known.Revision {
-		r.noteCold(now, u)
+		r.updateCold(now, u)
 	}
 	u.Cold = 0
 	r.entries[u.ID] = u
@@ -197,9 +199,9 @@
 	}
 }
 
-// vanishOthers lets vanish what a list lacks that is the whole of what it is to name, unless it changed
+// removeAbsent lets vanish what a list lacks that is the whole of what it is to name, unless it changed
 // after the list's revision.
-func (r *roster) vanishOthers(now time.Time, list []Upstream, revision int64, isToName func(id string) bool) (changed bool) {
+func (r *roster) removeAbsent(now time.Time, list []Upstream, revision int64, isToName func(id string) bool) (changed bool) {
 	named := make(map[string]bool, len(list))
 	for _, u := range list {
 		named[u.ID] = true
@@ -208,25 +210,25 @@
 		if named[id] || u.Revision > revision || !isToName(id) {
 			continue
 		}
-		if r.vanish(now, id) {
+		if r.removeOrMarkMissing(now, id) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// vanish removes an entry, or notes it as missing while the list settles. One that
+// removeOrMarkMissing removes an entry, or notes it as missing while the list settles. One that
 // said that it leaves has left.
-func (r *roster) vanish(now time.Time, id string) (changed bool) {
+func (r *roster) removeOrMarkMissing(now time.Time, id string) (changed bool) {
 	u, listed := r.entries[id]
 	if !listed {
 		return false
 	}
-	if now.Before(r.settles) && !u.Leaving {
+	if now.Before(r.settlesAt) && !u.Leaving {
 		_, already := r.missing[id]
 		if !already {
-			r.touch(now, id)
-			r.missing[id] = r.settles
+			r.recordChange(now, id)
+			r.missing[id] = r.settlesAt
 		}
 		return !already
 	}
@@ -237,7 +239,7 @@
 func (r *roster) remove(now time.Time, id string) (changed bool) {
 	u, listed := r.entries[id]
 	if listed {
-		r.left.note(now, u, u.Leaving, EpochOf(r.version))
+		r.departed.record(now, u, u.Leaving, EpochOf(r.version))
 	}
 	r.forget(now, id)
 	return listed
@@ -245,14 +247,14 @@
 
 // forget drops all that is known of an upstream.
 func (r *roster) forget(now time.Time, id string) {
-	r.touch(now, id)
+	r.recordChange(now, id)
 	delete(r.entries, id)
 	delete(r.missing, id)
 	delete(r.cold, id)
 }
 
-// settle gives up what is missing for too long. Nobody has said that it is gone: it may come back at any time.
-func (r *roster) settle(now time.Time) (gone int) {
+// dropExpired gives up what is missing for too long. Nobody has said that it is gone: it may come back at any time.
+func (r *roster) dropExpired(now time.Time) (gone int) {
 	for id, until := range r.missing {
 		if !now.Before(until) {
 			r.forget(now, id)
@@ -262,9 +264,9 @@
 	return gone
 }
 
-// giveUpMissing gives up what would settle at a time or later, and stops settling then.
-func (r *roster) giveUpMissing(now, from time.Time) {
-	if now.Before(r.restored) {
+// dropMissingFrom gives up what would settle at a time or later, and stops settling then.
+func (r *roster) dropMissingFrom(now, from time.Time) {
+	if now.Before(r.restoringUntil) {
 		return
 	}
 	for id, until := range r.missing {
@@ -272,8 +274,8 @@
 			r.forget(now, id)
 		}
 	}
-	if !r.settles.Before(from) {
-		r.settles = time.Time{}
+	if !r.settlesAt.Before(from) {
+		r.settlesAt = time.Time{}
 	}
 }
 
@@ -293,14 +295,14 @@
 }
 
 func (r *roster) list(now time.Time) []Upstream {
-	return r.those(now, func(Upstream) bool { return true })
+	return r.filter(now, func(Upstream) bool { return true })
 }
 
-// those returns some of the upstreams, in order.
-func (r *roster) those(now time.Time, which func(Upstream) bool) (out []Upstream) {
+// filter returns some of the upstreams, in order.
+func (r *roster) filter(now time.Time, which func(Upstream) bool) (out []Upstream) {
 	for id, u := range r.entries {
 		if which(u) {
-			u.Cold = r.coldFor(now, id)
+			u.Cold = r.coldRemaining(now, id)
 			out = append(out, u)
 		}
 	}
--- a/internal/view/upstreams.go
+++ b/internal/view/upstreams.go
@@ -7,7 +7,7 @@
 
 // SetUpstreams implements Sink: it takes the whole list.
 func (v *View) SetUpstreams(list []Upstream, revision int64, asOf time.Time) {
-	v.change("source", func(r *roster, now time.Time) {
+	v.updateList("source", func(r *roster, now time.Time) {
 		r.replace(now, list, revision)
 		r.prove(revision, asOf)
 	})
@@ -15,7 +15,7 @@
 
 // ApplyChanges implements Sink.
 func (v *View) ApplyChanges(changes []Change, complete int64, asOf time.Time) {
-	v.change("source", func(r *roster, now time.Time) {
+	v.updateList("source", func(r *roster, now time.Time) {
 		r.apply(now, changes, complete)
 		r.prove(complete, asOf)
 	})
@@ -36,8 +36,8 @@
 	if l.Version < v.ListVersion() || l.Version == 0 {
 		return true
 	}
-	v.change("peer "+peer, func(r *roster, now time.Time) {
-		r.learn(now, l)
+	v.updateList("peer "+peer, func(r *roster, now time.Time) {
+		r.merge(now, l)
 		if l.Version == r.version {
 			r.prove(r.complete, l.AsOf)
 		}
@@ -53,20 +53,20 @@
 	if l.Digest == 0 || l.Version != r.version {
 		return true
 	}
-	r.unlike = 0
-	compared := r.compared == r.version && l.Chunks == nil
-	if compared || l.Digest == r.sums.listed.Digest() {
+	r.differsAt = 0
+	compared := r.comparedAt == r.version && l.Chunks == nil
+	if compared || l.Digest == r.checksums.listed.Digest() {
 		return true
 	}
 	if l.Chunks != nil {
-		r.compared = r.version
+		r.comparedAt = r.version
 	}
-	known := r.compared == r.version // what this instance knows better stays as it is
+	known := r.comparedAt == r.version // what this instance knows better stays as it is
 	if !known {
-		r.unlike = r.version
+		r.differsAt = r.version
 	}
 	v.o.Metrics.Count("tacktally_lists_unlike_total")
-	v.o.Log.Warn().Str("event", "lists_unlike").Int64("version", r.version).Str("peer", peer).Str("digest", r.sums.text()).
+	v.o.Log.Warn().Str("event", "lists_unlike").Int64("version", r.version).Str("peer", peer).Str("digest", r.checksums.short()).
 		Int64("since", l.Since).Int("parts", len(l.Chunks)).Bool("known", known).Msg("")
 	return known
 }
@@ -77,8 +77,8 @@
 	defer v.mu.Unlock()
 	r := &v.upstreams
 	have := KnownState{Version: r.version}
-	if r.version > 0 && r.unlike == r.version {
-		have.Checksums = slices.Clone(r.sums.listed[:])
+	if r.version > 0 && r.differsAt == r.version {
+		have.Checksums = slices.Clone(r.checksums.listed[:])
 	}
 	return have
 }
@@ -88,23 +88,23 @@
 // connections failed would otherwise go on using it until it has settled.
 func (v *View) MergeSourceUptime(steady time.Duration, peer string) {
 	v.mu.Lock()
-	settles := v.upstreams.settles.After(v.o.Now()) || len(v.upstreams.missing) > 0
+	settles := v.upstreams.settlesAt.After(v.o.Now()) || len(v.upstreams.missing) > 0
 	v.mu.Unlock()
 	if !settles {
 		return
 	}
-	v.change("steady peer "+peer, func(r *roster, now time.Time) {
-		r.giveUpMissing(now, now.Add(v.o.SettlePeriod+v.o.LapseAfter-steady))
+	v.updateList("steady peer "+peer, func(r *roster, now time.Time) {
+		r.dropMissingFrom(now, now.Add(v.o.SettlePeriod+v.o.LapseAfter-steady))
 	})
 }
 
-// settle gives up what is missing for too long.
-func (v *View) settle() {
-	v.change("settled", func(r *roster, now time.Time) { r.settle(now) })
+// dropExpired gives up what is missing for too long.
+func (v *View) dropExpired() {
+	v.updateList("settled", func(r *roster, now time.Time) { r.dropExpired(now) })
 }
 
-// change changes the list. Who uses it is told, and the log, if anything has.
-func (v *View) change(from string, f func(*roster, time.Time)) {
+// updateList changes the list. Who uses it is told, and the log, if anything has.
+func (v *View) updateList(from string, f func(*roster, time.Time)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
@@ -112,11 +112,11 @@
 	version := r.version
 	f(r, now)
 	if next, some := r.nextSettle(); some {
-		v.settleAt(next)
+		v.scheduleSettle(next)
 	}
 	if version > 0 && EpochOf(r.version) > EpochOf(version) {
 		v.o.Log.Warn().Str("event", "source_restored").Int64("version", r.version).Int64("version_before", version).
-			Dur("settling", max(r.settles.Sub(now), 0)).Str("from", from).Msg("the source came back from a copy")
+			Dur("settling", max(r.settlesAt.Sub(now), 0)).Str("from", from).Msg("the source came back from a copy")
 	}
 	change, states := r.commit(now)
 	if states == "" && len(change.Changed) == 0 && version == r.version {
@@ -124,20 +124,20 @@
 	}
 	v.o.Log.Info().Str("event", "upstreams").Int64("version", r.version).Int64("complete", r.complete).
 		Dur("age", r.age(now)).Int("count", len(r.entries)).Int("missing", len(r.missing)).
-		Dur("settling", max(r.settles.Sub(v.o.Now()), 0)).Str("digest", r.sums.text()).
+		Dur("settling", max(r.settlesAt.Sub(v.o.Now()), 0)).Str("digest", r.checksums.short()).
 		Str("changed", states).Str("from", from).Msg("")
 	if v.o.OnUpstreams != nil {
 		v.o.OnUpstreams(change)
 	}
 }
 
-// settleAt lets settle be called at a time. The caller holds the lock.
-func (v *View) settleAt(t time.Time) {
-	if v.settling == nil {
-		v.settling = time.AfterFunc(t.Sub(v.o.Now()), v.settle)
+// scheduleSettle lets settle be called at a time. The caller holds the lock.
+func (v *View) scheduleSettle(t time.Time) {
+	if v.settleTimer == nil {
+		v.settleTimer = time.AfterFunc(t.Sub(v.o.Now()), v.dropExpired)
 		return
 	}
-	v.settling.Reset(t.Sub(v.o.Now()))
+	v.settleTimer.Reset(t.Sub(v.o.Now()))
 }
 
 // List returns the whole list.
@@ -147,7 +147,7 @@
 func (v *View) ListFor(have KnownState) List {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.upstreams.handOver(v.o.Now(), have)
+	return v.upstreams.listFor(v.o.Now(), have)
 }
 
 // ListCount returns how many upstreams are on the list.
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -148,19 +148,19 @@
 type View struct {
 	o Options
 
-	mu            sync.Mutex
-	configuration Configuration
-	table         *routing.Table
-	older         olderConfiguration // the last one that was refused
-	asOf          time.Time
-	steadySince   time.Time // no gap between two proofs since was as long as Lapse
-	upstreams     roster
-	evacuations   evacuations
-	settling      *time.Timer // nil until an upstream was missing
-	reachable     bool
-	everReached   bool
-	malformed     map[string]bool      // causes that were logged
-	doubted       map[string]time.Time // when the entries of upstreams that may leave were read, by ID
+	mu              sync.Mutex
+	configuration   Configuration
+	table           *routing.Table
+	lastRefused     olderConfiguration // the last one that was refused
+	asOf            time.Time
+	uptimeSince     time.Time // no gap between two proofs since was as long as Lapse
+	upstreams       roster
+	evacuations     evacuations
+	settleTimer     *time.Timer // nil until an upstream was missing
+	reachable       bool
+	everReached     bool
+	loggedMalformed map[string]bool      // causes that were logged
+	recheckedAt     map[string]time.Time // when the entries of upstreams that may leave were read, by ID
 }
 
 // Configuration is a published configuration as it is handed to peers.
@@ -270,7 +270,7 @@
 	case same, len(c.Content) == 0 && c.Revision == inForce.Revision:
 		v.configuration.Revision = max(inForce.Revision, c.Revision)
 		v.prove(asOf)
-	case EpochOf(c.Revision) == EpochOf(inForce.Revision) && c.Revision < inForce.Revision, c.Revision == v.older.revision:
+	case EpochOf(c.Revision) == EpochOf(inForce.Revision) && c.Revision < inForce.Revision, c.Revision == v.lastRefused.revision:
 		v.logOlder(c.Revision, from)
 	default:
 		return false
@@ -284,8 +284,8 @@
 // logOlder counts and logs an older configuration. The caller holds the lock.
 func (v *View) logOlder(revision int64, from string) {
 	version := int64(0)
-	if revision == v.older.revision {
-		version = v.older.version
+	if revision == v.lastRefused.revision {
+		version = v.lastRefused.version
 	}
 	v.o.Metrics.Count("tacktally_config_older_total")
 	v.o.Log.Warn().Str("event", "config_older").Int64("revision", revision).Int64("version", version).
@@ -309,7 +309,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.table != nil && !isNewer(table.Version, c.Revision, v.table.Version, v.configuration.Revision) {
-		v.older = olderConfiguration{c.Revision, table.Version}
+		v.lastRefused = olderConfiguration{c.Revision, table.Version}
 		v.logOlder(c.Revision, from)
 		return false
 	}
@@ -317,8 +317,8 @@
 		v.asOf = time.Time{} // reads of the copy proved what it held
 	}
 	if EpochOf(c.Revision) == EpochOf(v.evacuations.version) {
-		v.evacuations.rewritten(v.o.Now())
-		v.releaseInTime()
+		v.evacuations.shortenHold(v.o.Now())
+		v.scheduleRelease()
 	}
 	v.configuration = c
 	v.table = table
@@ -359,7 +359,7 @@
 		return
 	}
 	if asOf.Sub(v.asOf) >= v.o.LapseAfter {
-		v.steadySince = asOf
+		v.uptimeSince = asOf
 	}
 	v.asOf = asOf
 }
@@ -369,10 +369,10 @@
 func (v *View) SourceUptime() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.table == nil || v.wasAway() {
+	if v.table == nil || v.sourceWasAway() {
 		return 0
 	}
-	return v.o.Now().Sub(v.steadySince)
+	return v.o.Now().Sub(v.uptimeSince)
 }
 
 // SourceReached implements Sink.
@@ -382,8 +382,8 @@
 	first := !v.everReached
 	v.reachable = true
 	v.everReached = true
-	if back && !first && v.wasAway() {
-		v.upstreams.settleBy(v.o.Now().Add(v.o.SettlePeriod))
+	if back && !first && v.sourceWasAway() {
+		v.upstreams.settleUntil(v.o.Now().Add(v.o.SettlePeriod))
 	}
 	v.mu.Unlock()
 	if back {
@@ -391,11 +391,11 @@
 	}
 }
 
-// wasAway tells whether the source was away for all, so that entries may have lapsed:
+// sourceWasAway tells whether the source was away for all, so that entries may have lapsed:
 // not even a peer could prove the configuration. Otherwise only this instance didn't
 // reach it, and what is missing is gone. Where peers didn't tell of their proofs yet, it
 // may be wrong; see SourceWasThere. The caller holds the lock.
-func (v *View) wasAway() bool {
+func (v *View) sourceWasAway() bool {
 	return v.table != nil && v.o.Now().Sub(v.asOf) >= v.o.LapseAfter
 }
 
@@ -421,29 +421,29 @@
 	line.Msg("")
 }
 
-// mostMalformed bounds the entries that make no sense of which it is remembered that the log
+// maxMalformedLogged bounds the entries that make no sense of which it is remembered that the log
 // names them.
-const mostMalformed = 64
+const maxMalformedLogged = 64
 
 // ReportMalformed implements Sink. Each is logged once, however often it is read.
 func (v *View) ReportMalformed(err error) {
 	v.o.Metrics.Count("tacktally_source_malformed_total")
-	if v.isLogged(err.Error()) {
+	if v.wasLogged(err.Error()) {
 		return
 	}
 	v.o.Log.Error().Str("event", "entry_malformed").Str("cause", err.Error()).Msg("it is left out; mend what registers it")
 }
 
-// isLogged tells whether a malformed entry was logged before, and notes that it is.
-func (v *View) isLogged(cause string) bool {
+// wasLogged tells whether a malformed entry was logged before, and notes that it is.
+func (v *View) wasLogged(cause string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.malformed[cause] {
+	if v.loggedMalformed[cause] {
 		return true
 	}
-	if v.malformed == nil || len(v.malformed) >= mostMalformed {
-		v.malformed = map[string]bool{}
+	if v.loggedMalformed == nil || len(v.loggedMalformed) >= maxMalformedLogged {
+		v.loggedMalformed = map[string]bool{}
 	}
-	v.malformed[cause] = true
+	v.loggedMalformed[cause] = true
 	return false
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -71,7 +71,7 @@
 	var first, second bytes.Buffer
 	steady, settling := newView(nil), newView(nil)
 	steady.o.Log, settling.o.Log = telemetry.NewLogger(&first, "info", "a"), telemetry.NewLogger(&second, "info", "b")
-	settling.upstreams.settleBy(time.Now().Add(time.Second))
+	settling.upstreams.settleUntil(time.Now().Add(time.Second))
 	for _, v := range []*View{steady, settling} {
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 3, time.Now())
@@ -173,7 +173,7 @@
 				is.Equal(offered(v), c.left)
 				v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 12}}, 12, time.Now()) // it is back
 				is.Equal(offered(v), "a b")
-				wait.For(t.Context(), doubtEvery)
+				wait.For(t.Context(), recheckInterval)
 				v.RecheckUpstream("b")
 				synctest.Wait()
 				is.Equal(asked["b"], 2)
