--- a/internal/view/bench_test.go
+++ b/internal/view/bench_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A change of one entry, in lists of today's largest size, six times that, and the target's.
-func BenchmarkAChangeOfTheList(b *testing.B) {
+// BenchmarkListChange changes one entry, in lists of the largest size in use, six times that, and the
+// target size.
+func BenchmarkListChange(b *testing.B) {
 	for _, upstreams := range []int{168, 1_000, 10_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			v := newView(nil)
--- a/internal/view/changes.go
+++ b/internal/view/changes.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// maxNamed bounds the upstreams that one line of the log names.
+// maxNamed is the number of upstreams that one log line names at most.
 const maxNamed = 12
 
-// ListChange is what one step has changed of the list.
+// ListChange is the difference that one update has made to the list.
 type ListChange struct {
-	// Version of the list now. It may have risen though nothing else has changed.
+	// Version of the list after the update. It may have risen though nothing else has changed.
 	Version int64
-	// Changed upstreams are new on the list, or something is said of them that wasn't before.
+	// Changed upstreams are new on the list, or their entries have new content.
 	Changed []Upstream
-	// Removed are the IDs of those that aren't on the list any more.
+	// Removed are the IDs of upstreams that are no longer on the list.
 	Removed []string
 }
 
-// state is what a list says of one upstream, as logs show it.
+// state is the state of one upstream on the list, as logs show it.
 type state string
 
 // The states of an upstream.
@@ -34,17 +34,17 @@
 	cold     state = "cold"
 )
 
-// previousState is an upstream as it was before a step.
+// previousState is an upstream as it was before an update.
 type previousState struct {
 	entry       Upstream
 	listed      bool
 	state       state
 	cold        time.Time
-	notifyPeers bool // peers may not know what the step tells, though it changes nothing here
+	notifyPeers bool // peers may lack the change, though it changes nothing here
 }
 
-// recordChange notes an upstream as it was, before a step changes it for the first time. What a step costs
-// grows with what it touches.
+// recordChange records an upstream as it was, before an update changes it for the first time. The
+// cost of an update grows with the number of upstreams recorded.
 func (r *roster) recordChange(now time.Time, id string) *previousState {
 	if noted := r.pending[id]; noted != nil {
 		return noted
@@ -55,7 +55,8 @@
 	return noted
 }
 
-// commit ends a step: it returns what has changed since the one before, and the states that have, in words.
+// commit ends an update. It returns what has changed since the previous commit, and the changed
+// states as text for the log.
 func (r *roster) commit(now time.Time) (c ListChange, states string) {
 	c.Version = r.version
 	var named []string
@@ -86,13 +87,13 @@
 	return c, formatStates(named)
 }
 
-// equalContent tells whether an entry equalContent the same of its upstream as another one.
+// equalContent reports whether two entries are equal but for their revision and sequence number.
 func (u Upstream) equalContent(other Upstream) bool {
 	u.Revision, u.Sequence = other.Revision, other.Sequence
 	return u == other
 }
 
-// formatStates names the upstreams whose state has changed, in order, with the new one.
+// formatStates lists the upstreams whose state has changed in order, each with its new state.
 func formatStates(named []string) string {
 	slices.Sort(named)
 	if more := len(named) - maxNamed; more > 0 {
@@ -118,7 +119,7 @@
 	}
 }
 
-// age is the time since the list was shown to be current last, 0 if it never was.
+// age returns the time since the list was last shown to be current, 0 if it never was.
 func (r *roster) age(now time.Time) time.Duration {
 	if r.asOf.IsZero() {
 		return 0
@@ -126,26 +127,27 @@
 	return now.Sub(r.asOf)
 }
 
-// changeRecord is an upstream of which a step has told something.
+// changeRecord is an upstream that an update has concerned.
 type changeRecord struct {
 	id      string
-	version int64 // of the list after the step
+	version int64 // of the list after the update
 }
 
-// minChanges is how many of the last changes are known at least.
+// minChanges is the number of recent changes that are always kept.
 const minChanges = 256
 
-// logChange notes that something is known of an upstream since the list's version of today. The oldest notes are
-// dropped once there are more of them than upstreams: a whole list is smaller then.
+// logChange appends an upstream to the change log, at the current version of the list. The oldest
+// records are dropped once there are more than twice as many as upstreams: the whole list is then
+// smaller.
 func (r *roster) logChange(id string) {
 	r.changes = append(r.changes, changeRecord{id, r.version})
-	if most := max(len(r.entries), minChanges); len(r.changes) > 2*most {
-		r.droppedUpTo = r.changes[len(r.changes)-most-1].version
-		r.changes = slices.Clone(r.changes[len(r.changes)-most:])
+	if keep := max(len(r.entries), minChanges); len(r.changes) > 2*keep {
+		r.droppedUpTo = r.changes[len(r.changes)-keep-1].version
+		r.changes = slices.Clone(r.changes[len(r.changes)-keep:])
 	}
 }
 
-// changedSince returns the IDs of upstreams of which something has become known since a version, in order.
+// changedSince returns the IDs of the upstreams in the change log after a version, in order.
 func (r *roster) changedSince(version int64) []string {
 	first, _ := slices.BinarySearchFunc(r.changes, version+1, func(l changeRecord, from int64) int { return cmp.Compare(l.version, from) })
 	ids := make(map[string]bool, len(r.changes)-first)
--- a/internal/view/departures.go
+++ b/internal/view/departures.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// departureRetention is how long the last word of an upstream that has left is remembered: beyond the
-// time for which a path may hold up what it wrote before. The kernel gives a write up after some
-// seconds without an answer.
+// departureRetention is how long the last entry of a removed upstream is kept. It has to exceed the
+// time for which a network path may delay an earlier write of the upstream: the kernel gives up on a
+// write after some seconds without a response.
 const departureRetention = 30 * time.Second
 
-// departures are the last entries of upstreams that are gone although lists without that news may
-// still come: they said that they leave, their entry alone was read, or the source lost that they are gone.
+// departures are the last entries of removed upstreams that older lists may still contain: those
+// that announced that they leave, those whose entry was read on its own, and those whose removal the
+// source has lost.
 type departures struct {
 	by     map[string]departure // by ID
 	pruned time.Time
@@ -19,19 +20,21 @@
 
 type departure struct {
 	last Upstream
-	// isLast tells that the entry was known to be its last one.
+	// isLast reports that the entry was known to be the upstream's last one.
 	isLast bool
-	// epoch in which it was gone: a copy of the source from before may bring it back in a later one.
+	// epoch in which the upstream was removed: an earlier copy of the source may list it again in a
+	// later epoch.
 	epoch int64
 	at    time.Time
 }
 
-// record remembers the entry of one that is gone, and forgets those of long ago now and then.
-func (d *departures) record(now time.Time, u Upstream, isLast bool, era int64) {
+// record keeps the entry of a removed upstream. At most once per departureRetention it drops expired
+// entries.
+func (d *departures) record(now time.Time, u Upstream, isLast bool, epoch int64) {
 	if now.Sub(d.pruned) >= departureRetention {
 		d.prune(now)
 	}
-	d.by[u.ID] = departure{last: u, isLast: isLast, epoch: era, at: now}
+	d.by[u.ID] = departure{last: u, isLast: isLast, epoch: epoch, at: now}
 }
 
 func (d *departures) prune(now time.Time) {
@@ -39,9 +42,9 @@
 	maps.DeleteFunc(d.by, func(_ string, other departure) bool { return now.Sub(other.at) >= departureRetention })
 }
 
-// rejects tells whether an entry is of no use since its upstream is gone: it is the last one, or was
-// written before it. One that vanished without a word may come back, unless it does so in a copy of the source from
-// before.
+// rejects reports whether an entry is obsolete because its upstream was removed: it is the last
+// entry or was written before it. An upstream that was removed without a leaving notice may come
+// back, except through an older entry in a restored copy of the source.
 func (d *departures) rejects(now time.Time, u Upstream) bool {
 	known, gone := d.by[u.ID]
 	if !gone || now.Sub(known.at) >= departureRetention {
--- a/internal/view/evacuations.go
+++ b/internal/view/evacuations.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// holdAfterRestore is how long an evacuation is believed that the source had before it came back from a copy, and doesn't
-// have now: operators write it again, or have taken the zone back meanwhile.
+// holdAfterRestore is how long an evacuation stays in effect that the source had before it was
+// restored from a copy and no longer has. Operators either publish it again, or have ended it in the
+// meantime.
 const holdAfterRestore = 30 * time.Second
 
-// holdAfterRewrite is the same once a configuration that is newer than the one before the return shows that operators have
-// written again: evacuations come beside it.
+// holdAfterRewrite replaces holdAfterRestore once a configuration newer than the one before the
+// restore shows that operators have published again: they publish evacuations along with it.
 const holdAfterRewrite = 5 * time.Second
 
-// Evacuations are the availability zones whose upstreams are to get nothing new.
+// Evacuations are the availability zones whose upstreams get no new requests.
 type Evacuations struct {
 	// Version is the position of the source up to which Zones is complete; 0 where nothing is
 	// known.
 	Version int64
 	// Zones that are evacuated, in order.
 	Zones []string
-	// Held are those of Zones that the source had in an earlier era only, with the time for which they are still
-	// believed to be evacuated.
+	// Held are those of Zones that the source had in an earlier epoch only, with the time for which
+	// they still count as evacuated.
 	Held map[string]time.Duration
 }
 
-// published returns the zones that the source has.
+// published returns the zones that the source lists as evacuated.
 func (e Evacuations) published() []string {
 	zones := slices.DeleteFunc(slices.Clone(e.Zones), func(zone string) bool {
 		_, held := e.Held[zone]
@@ -44,29 +45,31 @@
 	Revision int64
 }
 
-// evacuations is what is believed of them.
+// evacuations is what an instance knows of evacuated zones.
 type evacuations struct {
 	version   int64
 	published []string
 	all       []string // published or held, in order
-	// held are zones that an earlier era had, until when each is believed to be evacuated.
+	// held are zones evacuated in an earlier epoch, with the time until which each still counts as
+	// evacuated.
 	held map[string]time.Time
-	// resolved are zones that this era has had, or that were held for long enough.
+	// resolved are zones that the source has published in this epoch, or whose hold has expired.
 	resolved map[string]bool
-	// previousVersion is the version that was known last of earlier eras, and until when such are held.
+	// previousVersion is the last version known of earlier epochs; holdUntil is when holds of such
+	// zones end.
 	previousVersion int64
 	holdUntil       time.Time
 	releaseTimer    *time.Timer // nil until a zone was held
 }
 
-// SetEvacuations implements Sink: it takes all zones that are evacuated, as the source had them at a
+// SetEvacuations implements Sink. It sets all zones that are evacuated, as the source had them at a
 // revision.
 func (v *View) SetEvacuations(zones []string, revision int64) {
 	v.receiveEvacuations(Evacuations{Version: revision, Zones: zones}, "source")
 }
 
-// ApplyZoneChanges implements Sink: it takes what has changed, in order, up to a revision. What is known
-// at a later revision stays.
+// ApplyZoneChanges implements Sink. It applies changes in order, which are complete up to a
+// revision. Changes at or before the known version are ignored.
 func (v *View) ApplyZoneChanges(changes []ZoneChange, complete int64) {
 	v.mu.Lock()
 	e := &v.evacuations
@@ -91,10 +94,10 @@
 	v.receiveEvacuations(Evacuations{Version: complete, Zones: zones}, "source")
 }
 
-// MergeEvacuations takes what a peer believes, if it is newer.
+// MergeEvacuations merges the evacuations that a peer sent, where they are newer.
 func (v *View) MergeEvacuations(e Evacuations, peer string) { v.receiveEvacuations(e, "peer "+peer) }
 
-// CurrentEvacuations returns what is believed. Zones are not to be changed.
+// CurrentEvacuations returns the evacuations in effect. The caller must not modify Zones.
 func (v *View) CurrentEvacuations() Evacuations {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -109,18 +112,17 @@
 	return out
 }
 
-// receiveEvacuations takes all zones as of a revision, unless a later one is known. Who uses them is
-// told, and the log, if any has changed.
-func (v *View) receiveEvacuations(told Evacuations, from string) {
+// receiveEvacuations merges all zones as of a version, and publishes the result if it has changed.
+func (v *View) receiveEvacuations(received Evacuations, from string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := &v.evacuations
 	before, version := e.all, e.version
-	e.merge(v.o.Now(), told)
+	e.merge(v.o.Now(), received)
 	v.publishEvacuations(before, version, from)
 }
 
-// releaseHeld ends what was held for long enough.
+// releaseHeld ends the holds that have expired.
 func (v *View) releaseHeld() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -130,8 +132,8 @@
 	v.publishEvacuations(before, e.version, "held for long enough")
 }
 
-// publishEvacuations tells of a change, and looks again when the first zone that is held has been for long enough. The
-// caller holds the lock.
+// publishEvacuations recomputes the evacuated zones, schedules the next release, and logs and
+// reports a change. The caller holds the lock.
 func (v *View) publishEvacuations(before []string, version int64, from string) {
 	e := &v.evacuations
 	e.all = e.effective()
@@ -152,7 +154,7 @@
 	}
 }
 
-// scheduleRelease lets releaseHeld be called when the first zone has been held for long enough. The caller holds the lock.
+// scheduleRelease sets the timer for the hold that expires first. The caller holds the lock.
 func (v *View) scheduleRelease() {
 	e := &v.evacuations
 	if len(e.held) == 0 {
@@ -166,22 +168,22 @@
 	e.releaseTimer.Reset(left)
 }
 
-// merge takes what somebody believes. What an earlier era had is held for a while where it isn't known here to have
-// ended.
-func (e *evacuations) merge(now time.Time, told Evacuations) {
-	published := told.published()
+// merge merges received evacuations. Zones that an earlier epoch had are held for a while, unless
+// they have been published in this epoch.
+func (e *evacuations) merge(now time.Time, received Evacuations) {
+	published := received.published()
 	switch {
-	case told.Version > e.version:
-		if e.version > 0 && EpochOf(told.Version) > EpochOf(e.version) {
+	case received.Version > e.version:
+		if e.version > 0 && EpochOf(received.Version) > EpochOf(e.version) {
 			e.enterEpoch(now)
 		}
-		e.version, e.published = told.Version, published
-	case EpochOf(told.Version) < EpochOf(e.version) && told.Version > e.previousVersion && now.Before(e.holdUntil):
-		e.previousVersion = told.Version
+		e.version, e.published = received.Version, published
+	case EpochOf(received.Version) < EpochOf(e.version) && received.Version > e.previousVersion && now.Before(e.holdUntil):
+		e.previousVersion = received.Version
 		e.hold(published, e.holdUntil)
 	}
-	if EpochOf(told.Version) == EpochOf(e.version) {
-		for zone, left := range told.Held {
+	if EpochOf(received.Version) == EpochOf(e.version) {
+		for zone, left := range received.Held {
 			e.hold([]string{zone}, now.Add(min(left, holdAfterRestore)))
 		}
 	}
@@ -190,15 +192,16 @@
 	}
 }
 
-// enterEpoch holds what the era before had.
+// enterEpoch holds the zones that the previous epoch had.
 func (e *evacuations) enterEpoch(now time.Time) {
-	before := e.published
+	previous := e.published
 	e.previousVersion, e.holdUntil = e.version, now.Add(holdAfterRestore)
 	e.resolved = map[string]bool{}
-	e.hold(before, e.holdUntil)
+	e.hold(previous, e.holdUntil)
 }
 
-// shortenHold is called when operators have written again in this era: what they hold on to comes beside it.
+// shortenHold reduces all holds to holdAfterRewrite, since operators have published in this epoch and
+// publish the evacuations that still apply along with it.
 func (e *evacuations) shortenHold(now time.Time) {
 	until := now.Add(holdAfterRewrite)
 	if until.Before(e.holdUntil) {
@@ -211,7 +214,7 @@
 	}
 }
 
-// hold believes zones to be evacuated until a time, but for those that this era has had.
+// hold keeps zones evacuated until a time, except those already resolved in this epoch.
 func (e *evacuations) hold(zones []string, until time.Time) {
 	for _, zone := range zones {
 		if e.resolved[zone] {
@@ -226,7 +229,7 @@
 	}
 }
 
-// resolve goes by what the source says of a zone from now on.
+// resolve ends the hold of a zone: from now on only what the source publishes counts.
 func (e *evacuations) resolve(zone string) {
 	delete(e.held, zone)
 	if e.resolved == nil {
@@ -235,7 +238,7 @@
 	e.resolved[zone] = true
 }
 
-// release ends what was held for long enough.
+// release resolves the zones whose hold has expired.
 func (e *evacuations) release(now time.Time) {
 	for zone, until := range e.held {
 		if !now.Before(until) {
--- a/internal/view/evacuations_test.go
+++ b/internal/view/evacuations_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Requests are served by no configuration before it is known which zones are evacuated: an instance
-// that starts would send them there.
+// No configuration is in force before the evacuated zones are known: an instance that starts would
+// send requests there.
 func TestNoConfigurationIsInForceBeforeEvacuationsAreKnown(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
@@ -18,14 +18,14 @@
 	v.SetConfiguration(7, []byte("seven"), time.Now())
 	is.Equal(inForce(v), "")
 	_, known := v.Age()
-	is.True(!known) // it isn't ready either
+	is.True(!known) // the instance isn't ready either
 	v.MergeEvacuations(Evacuations{Version: 9, Zones: []string{"bole"}}, "p")
 	is.Equal(inForce(v), "seven")
 	is.Equal(v.CurrentEvacuations().Zones, []string{"bole"})
 }
 
-// A watch that was begun before anything was known proves nothing of the zones that it doesn't name.
-func TestChangesOfZonesAloneProveNothing(t *testing.T) {
+// A watch that began before anything was known says nothing about the zones that it doesn't name.
+func TestZoneChangesBeforeAFullReadAreIgnored(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
 	v.evacuations = evacuations{}
@@ -33,9 +33,9 @@
 	is.Equal(v.CurrentEvacuations().Version, int64(0))
 }
 
-// News of zones comes from reads, from a watch and from peers, late, twice and in any order. What is
-// believed is always what the source had at the highest revision that was heard of.
-func TestEvacuationsAreThoseOfTheHighestRevisionHeardOf(t *testing.T) {
+// Evacuations are received from reads, from a watch and from peers, late, twice and in any order. The
+// result is always what the source had at the highest revision received.
+func TestEvacuationsAreThoseOfTheHighestReceivedRevision(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		v := newView(nil)
@@ -56,33 +56,33 @@
 		}
 		highest, watched := int64(1), 0
 		for range 60 {
-			heard := history[random.IntN(len(history))]
+			received := history[random.IntN(len(history))]
 			switch random.IntN(3) {
 			case 0:
-				v.SetEvacuations(slices.Clone(heard.Zones), heard.Version)
+				v.SetEvacuations(slices.Clone(received.Zones), received.Version)
 			case 1:
-				v.MergeEvacuations(heard, "p")
-			default: // the watch brings what comes next, in order
+				v.MergeEvacuations(received, "p")
+			default: // the watch returns the next changes, in order
 				until := min(watched+1+random.IntN(3), len(changes))
 				if until == watched {
 					continue
 				}
-				heard = history[until]
-				v.ApplyZoneChanges(changes[watched:until], heard.Version)
+				received = history[until]
+				v.ApplyZoneChanges(changes[watched:until], received.Version)
 				watched = until
 			}
-			highest = max(highest, heard.Version)
+			highest = max(highest, received.Version)
 			want := history[highest-1]
 			if got := v.CurrentEvacuations(); got.Version != want.Version || !slices.Equal(got.Zones, want.Zones) {
-				t.Fatalf("seed %d: %+v is believed, the source had %+v", seed, got, want)
+				t.Fatalf("seed %d: the view has %+v, the source had %+v", seed, got, want)
 			}
 		}
 	}
 }
 
-// An entry says for how long its upstream stays cold. Whoever learns it later learns what is left, and
-// an older entry, or the same one again, changes nothing.
-func TestColdnessOfAnUpstreamAgesOnItsWay(t *testing.T) {
+// An entry gives the time for which its upstream stays cold. A peer that receives it later gets the
+// remaining time, and the same entry read again changes nothing.
+func TestRemainingColdTimeAgesInTransit(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	r := newRoster(4 * time.Second)
@@ -94,8 +94,8 @@
 	peer.merge(now.Add(time.Second), r.listFor(now.Add(time.Second), KnownState{}))
 	is.Equal(peer.coldRemaining(now.Add(2*time.Second), "a"), time.Second)
 	r.apply(now.Add(2*time.Second), []Change{{Upstream: Upstream{ID: "a", Revision: 5}}}, 5)
-	is.Equal(r.coldRemaining(now.Add(2*time.Second), "a"), time.Duration(0)) // it is warm sooner than it said
+	is.Equal(r.coldRemaining(now.Add(2*time.Second), "a"), time.Duration(0)) // its cold start ended earlier than its entry gave
 	version := r.version
 	r.replace(now.Add(3*time.Second), []Upstream{{ID: "a", Revision: 7, Cold: 2 * time.Second}}, 7)
-	is.True(r.version > version) // it became cold again, which is news
+	is.True(r.version > version) // becoming cold again is a change
 }
--- a/internal/view/handover.go
+++ b/internal/view/list.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// List is the list of upstreams, or a part of it, as one instance hands it over to another.
+// List is the list of upstreams, or a portion of it, as one instance sends it to another.
 type List struct {
 	// Version is the source's revision at which the content last changed. Of two lists with
-	// unlike content one has the higher version; 0 is none.
+	// different content one has the higher version; 0 is none.
 	Version int64
-	// AsOf is when the read was sent that showed the list to be current last.
+	// AsOf is when the read was sent that last showed the list to be current.
 	AsOf time.Time
-	// Since is the version from which on Upstreams and Vanished are all that has changed; 0 where
-	// Upstreams is the whole list, or that of Parts.
+	// Since is the version after which Upstreams and Removed are all changes; 0 where Upstreams is
+	// the whole list, or the whole of Chunks.
 	Since int64
-	// Chunks are those that Upstreams is the whole of; none where it is the whole list.
+	// Chunks are those that Upstreams is the whole of; nil where it is the whole list.
 	Chunks    []int
 	Upstreams []Upstream
 	// Removed are the IDs of upstreams that have left the list since.
@@ -20,33 +20,34 @@
 	// Missing are those of Upstreams that lapsed around an outage of the source, by ID, with the
 	// time in which they may still come back.
 	Missing map[string]time.Duration
-	// Digest is of the whole list of that version; 0 where it isn't told.
+	// Digest of the whole list of that version; 0 where the peer doesn't send it.
 	Digest uint64
 }
 
-// KnownState is what an instance that asks for a list has.
+// KnownState is what an instance that requests a list has already.
 type KnownState struct {
 	// Version of its list, 0 without one.
 	Version int64
-	// WholeOnly tells that it takes nothing but whole lists.
+	// WholeOnly is set by an instance that accepts whole lists only.
 	WholeOnly bool
-	// Checksums of its list, where that isn't like the one of a peer though it has the same version.
+	// Checksums of its list, where that differs from a peer's of the same version.
 	Checksums []uint64
 }
 
-// listFor returns what a peer is to get, by what it has. One that has the list of this version gets none.
-func (r *roster) listFor(now time.Time, have KnownState) List {
+// listFor returns the list to send to a peer that has the given state. A peer that has the list of
+// this version gets no upstreams.
+func (r *roster) listFor(now time.Time, known KnownState) List {
 	l := List{Version: r.version, AsOf: r.asOf, Digest: r.checksums.listed.Digest()}
 	switch {
-	case have.Version > r.version:
-	case have.Version == r.version && len(have.Checksums) > 0:
-		l.Chunks = r.checksums.listed.differingChunks(have.Checksums)
+	case known.Version > r.version:
+	case known.Version == r.version && len(known.Checksums) > 0:
+		l.Chunks = r.checksums.listed.differingChunks(known.Checksums)
 		l.Upstreams = r.filter(now, func(u Upstream) bool { return inChunks(l.Chunks, u.ID) })
-	case have.Version == r.version:
-	case have.WholeOnly, have.Version == 0, have.Version < r.droppedUpTo:
+	case known.Version == r.version:
+	case known.WholeOnly, known.Version == 0, known.Version < r.droppedUpTo:
 		l.Upstreams = r.list(now)
 	default:
-		l.Since = have.Version
+		l.Since = known.Version
 		r.addChangesSince(now, &l)
 	}
 	for _, u := range l.Upstreams {
@@ -64,7 +65,7 @@
 	l.Missing[id] = left
 }
 
-// addChangesSince adds to a list what has become known since its version Since.
+// addChangesSince adds the changes after the version Since to a list.
 func (r *roster) addChangesSince(now time.Time, l *List) {
 	for _, id := range r.changedSince(l.Since) {
 		u, listed := r.entries[id]
@@ -77,8 +78,8 @@
 	}
 }
 
-// merge takes a peer's list if it is newer. What is missing from it for the time being is
-// missing here, too; what this instance has given up already isn't taken back.
+// merge merges a peer's list if it is newer. Upstreams that are missing at the peer become missing
+// here, too; those that this instance has already dropped are not added again.
 func (r *roster) merge(now time.Time, l List) {
 	if !r.isApplicable(l) {
 		return
@@ -100,8 +101,8 @@
 	r.complete = max(r.complete, l.Version)
 }
 
-// isApplicable tells whether a peer's list is newer than the one at hand, and tells all that lies between. Parts are
-// of use also where the one at hand has their version and should have been like the peer's.
+// isApplicable reports whether a peer's list is newer than this one and contains all changes in
+// between. Chunks apply also where this list has the same version but a different digest.
 func (r *roster) isApplicable(l List) bool {
 	switch {
 	case l.Version == r.version:
@@ -109,13 +110,13 @@
 	case l.Version < r.version:
 		return false
 	case l.Chunks != nil:
-		return false // there was news meanwhile
+		return false // chunks complete a list of their own version only
 	default:
 		return l.Since <= r.version
 	}
 }
 
-// mergeRemovals lets vanish what a peer's list lacks.
+// mergeRemovals removes the upstreams that a peer's list lacks.
 func (r *roster) mergeRemovals(now time.Time, l List) {
 	if l.Since == 0 {
 		r.removeAbsent(now, l.Upstreams, l.Version, func(id string) bool { return l.Chunks == nil || inChunks(l.Chunks, id) })
--- a/internal/view/position.go
+++ b/internal/view/position.go
@@ -1,21 +1,23 @@
 package view
 
-// epochSpan is the number of revisions that one era may have. Decimal, so that both can be read in logs.
+// epochSpan is the number of revisions that one epoch may have. It is a power of ten, so that epoch
+// and revision can both be read from a position in logs.
 const epochSpan = 1_000_000_000_000
 
-// maxEpochs bounds eras, so that each position is an int64.
+// maxEpochs bounds the epochs, so that each position is an int64.
 const maxEpochs = 1_000_000
 
-// Position orders what a source publishes. A source may come back from an older copy of itself and give revisions
-// out again: that begins a new era, and revisions of unlike eras don't compare. Position is the revision where there
-// was no such return. Not ok are negative numbers, revisions from eraSpan on and eras from mostEras on.
-func Position(era, revision int64) (position int64, ok bool) {
-	ok = era >= 0 && era < maxEpochs && revision >= 0 && revision < epochSpan
-	return era*epochSpan + revision, ok
+// Position returns the order of a revision among everything that a source publishes. A source that is
+// restored from an older copy of itself issues revisions again: that begins a new epoch, and
+// revisions of different epochs can't be compared. Without a restore, the position equals the
+// revision. Not ok are negative numbers, revisions from epochSpan on and epochs from maxEpochs on.
+func Position(epoch, revision int64) (position int64, ok bool) {
+	ok = epoch >= 0 && epoch < maxEpochs && revision >= 0 && revision < epochSpan
+	return epoch*epochSpan + revision, ok
 }
 
-// EpochOf returns the era of a position, and RevisionOf its revision within that.
+// EpochOf returns the epoch of a position.
 func EpochOf(position int64) int64 { return position / epochSpan }
 
-// RevisionOf returns the revision of a position within its era.
+// RevisionOf returns the revision of a position within its epoch.
 func RevisionOf(position int64) int64 { return position % epochSpan }
--- a/internal/view/doubt.go
+++ b/internal/view/recheck.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// recheckInterval is how often at most the entry of one upstream is read because of its own word. One
-// that leaves says so with each answer; others do now and then, none in 5,000 answers of a steady
-// day, and reads are bounded in number.
+// recheckInterval is the minimum time between two reads of one upstream's entry that its responses
+// cause. An upstream that leaves closes its connections with each response; others do so
+// occasionally (none in 5,000 responses under steady load), so the number of reads is bounded.
 const recheckInterval = time.Second
 
-// RecheckUpstream is told of an upstream that may be leaving by its own word. Unless the list says so, its
-// entry is read: its own word comes with each answer, also where news of the list is held up.
-// It doesn't block.
+// RecheckUpstream reads the entry of an upstream whose responses suggest that it is leaving, unless
+// the list has it as leaving already. The responses arrive also where updates of the list are
+// delayed. It doesn't block.
 func (v *View) RecheckUpstream(id string) {
-	known, ask := v.beginRecheck(id)
-	if ask {
+	known, due := v.beginRecheck(id)
+	if due {
 		go v.readEntry(known)
 	}
 }
 
-// beginRecheck returns an upstream's entry, and whether it is to be read anew.
-func (v *View) beginRecheck(id string) (known Upstream, ask bool) {
+// beginRecheck returns an upstream's entry, and whether it is to be read again.
+func (v *View) beginRecheck(id string) (known Upstream, due bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known, listed := v.upstreams.entries[id]
@@ -41,11 +41,11 @@
 	return known, true
 }
 
-// readEntry reads what is published of an upstream, and takes it.
+// readEntry reads the published entry of one upstream and applies it to the list.
 func (v *View) readEntry(known Upstream) {
 	c, err := v.o.Source.ReadEntry(context.Background(), known.ID)
 	if err != nil && !c.Unreadable {
-		v.o.Log.Warn().Str("event", "upstream_doubted").Str("upstream", known.ID).Str("cause", err.Error()).Msg("its entry couldn't be read")
+		v.o.Log.Warn().Str("event", "upstream_doubted").Str("upstream", known.ID).Str("cause", err.Error()).Msg("reading the upstream's entry failed; its listed entry stays in use")
 		return
 	}
 	if err != nil {
--- a/internal/view/restored_test.go
+++ b/internal/view/restored_test.go
@@ -32,33 +32,33 @@
 	return v
 }
 
-// in is a position.
-func in(era, revision int64) int64 {
-	p, ok := Position(era, revision)
+// in returns the position of a revision in an epoch.
+func in(epoch, revision int64) int64 {
+	p, ok := Position(epoch, revision)
 	if !ok {
 		panic("no position")
 	}
 	return p
 }
 
-func TestWhichRevisionsHaveAPosition(t *testing.T) {
+func TestPositionBounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		era, revision int64
-		ok            bool
+		epoch, revision int64
+		ok              bool
 	}{
-		"no era":              {0, 7, true},
-		"an era":              {3, 7, true},
-		"a negative era":      {-1, 7, false},
+		"no epoch":            {0, 7, true},
+		"an epoch":            {3, 7, true},
+		"a negative epoch":    {-1, 7, false},
 		"a negative revision": {1, -7, false},
 		"too many revisions":  {1, epochSpan, false},
-		"too many eras":       {epochSpan, 1, false},
+		"too many epochs":     {epochSpan, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			position, ok := Position(c.era, c.revision)
+			position, ok := Position(c.epoch, c.revision)
 			is.Equal(ok, c.ok)
 			if ok {
-				is.Equal(EpochOf(position), c.era)
+				is.Equal(EpochOf(position), c.epoch)
 				is.Equal(RevisionOf(position), c.revision)
 			}
 		})
@@ -66,9 +66,9 @@
 	is.New(t).True(in(1, 1) > in(0, epochSpan-1))
 }
 
-// A source came back from a copy, gave its revisions out again, and what it published was refused as older, or taken
-// for what was in force.
-func TestConfigurationsAreOrderedByTheirOwnVersion(t *testing.T) {
+// A source that is restored from a copy issues its revisions again. By revision alone, what it
+// publishes would be refused as older, or be taken for the configuration in force.
+func TestConfigurationsAreOrderedByVersion(t *testing.T) {
 	const inForceIs = "48 in force"
 	for name, c := range map[string]struct {
 		position int64
@@ -76,29 +76,29 @@
 		inForce  string
 		proved   bool
 	}{
-		"the same":                                 {in(1, 43), inForceIs, inForceIs, true},
-		"the same of a later era":                  {in(2, 39), inForceIs, inForceIs, true},
-		"older, of a copy":                         {in(2, 39), "46 of the copy", inForceIs, false},
-		"older, at the same revision":              {in(2, 43), "46 of the copy", inForceIs, false},
-		"newer, at a lower revision":               {in(2, 41), "50 written again", "50 written again", true},
-		"newer, at the same revision":              {in(2, 43), "50 written again", "50 written again", true},
-		"newer, at a higher revision":              {in(2, 99), "50 written again", "50 written again", true},
-		"newer, of an earlier era":                 {in(0, 60), "50 that was lost", "50 that was lost", true},
-		"older, of an earlier era":                 {in(0, 60), "46 that was lost", inForceIs, false},
-		"of the same version in a later era":       {in(2, 41), "48 otherwise", "48 otherwise", true},
-		"of the same version in an earlier era":    {in(0, 99), "48 otherwise", inForceIs, false},
-		"of the same version at a later revision":  {in(1, 44), "48 otherwise", "48 otherwise", true},
-		"older at a later revision of its era":     {in(1, 44), "46 by mistake", inForceIs, false},
-		"unreadable":                               {in(2, 44), "what", inForceIs, false},
-		"newer at an earlier revision of its era":  {in(1, 42), "50 impossibly", inForceIs, false},
-		"two eras later, newer":                    {in(3, 2), "49 written again", "49 written again", true},
-		"two eras later, what was in force before": {in(3, 2), "40 of the copy", inForceIs, false},
+		"the same":                                  {in(1, 43), inForceIs, inForceIs, true},
+		"the same of a later epoch":                 {in(2, 39), inForceIs, inForceIs, true},
+		"older, of a copy":                          {in(2, 39), "46 of the copy", inForceIs, false},
+		"older, at the same revision":               {in(2, 43), "46 of the copy", inForceIs, false},
+		"newer, at a lower revision":                {in(2, 41), "50 written again", "50 written again", true},
+		"newer, at the same revision":               {in(2, 43), "50 written again", "50 written again", true},
+		"newer, at a higher revision":               {in(2, 99), "50 written again", "50 written again", true},
+		"newer, of an earlier epoch":                {in(0, 60), "50 that was lost", "50 that was lost", true},
+		"older, of an earlier epoch":                {in(0, 60), "46 that was lost", inForceIs, false},
+		"of the same version in a later epoch":      {in(2, 41), "48 otherwise", "48 otherwise", true},
+		"of the same version in an earlier epoch":   {in(0, 99), "48 otherwise", inForceIs, false},
+		"of the same version at a later revision":   {in(1, 44), "48 otherwise", "48 otherwise", true},
+		"older at a later revision of its epoch":    {in(1, 44), "46 by mistake", inForceIs, false},
+		"unreadable":                                {in(2, 44), "what", inForceIs, false},
+		"newer at an earlier revision of its epoch": {in(1, 42), "50 impossibly", inForceIs, false},
+		"two epochs later, newer":                   {in(3, 2), "49 written again", "49 written again", true},
+		"two epochs later, the previous one":        {in(3, 2), "40 of the copy", inForceIs, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			v := newVersionedView()
 			v.SetConfiguration(in(1, 43), []byte(inForceIs), time.Now().Add(-4*time.Second))
-			for range 2 { // the second time it may be known
+			for range 2 { // the second time it may be the last refused one
 				v.SetConfiguration(c.position, []byte(c.content), time.Now())
 			}
 			is.Equal(inForce(v), c.inForce)
@@ -108,9 +108,9 @@
 	}
 }
 
-// One that has just started knows only the copy. What a peer has in force is newer, and reads of the copy prove nothing
-// of it.
-func TestACopyProvesNothingOfWhatAPeerKnows(t *testing.T) {
+// An instance that starts after the restore knows only the copy. A peer's configuration is newer, and
+// reads of the copy don't confirm it.
+func TestRestoredCopyDoesNotConfirmPeersConfiguration(t *testing.T) {
 	is := is.New(t)
 	v := newVersionedView()
 	v.SetConfiguration(in(2, 39), []byte("46 of the copy"), time.Now())
@@ -121,27 +121,27 @@
 	age, _ := v.Age()
 	is.True(age >= 3*time.Second)
 	is.True(!v.IsOlderThan(46, in(2, 39)))
-	is.True(v.IsOlderThan(0, in(2, 39))) // a peer that doesn't tell versions
+	is.True(v.IsOlderThan(0, in(2, 39))) // a peer that doesn't send versions
 	is.True(v.IsOlderThan(50, in(2, 41)))
 }
 
-func TestAnEvacuationOutlivesTheReturnOfItsSource(t *testing.T) {
+func TestEvacuationOutlivesRestoreOfSource(t *testing.T) {
 	both := []string{"bole", "piassa"}
 	for name, c := range map[string]struct {
-		happens func(v *View)
-		zones   []string
-		later   []string // once nothing is held any more
+		act   func(v *View)
+		zones []string
+		later []string // once all holds have expired
 	}{
-		"nothing":                     {func(*View) {}, both, []string{"piassa"}},
-		"it is written again":         {func(v *View) { v.SetEvacuations(both, in(2, 22)) }, both, both},
-		"it is lifted":                {func(v *View) { v.ApplyZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22)) }, []string{"piassa"}, []string{"piassa"}},
-		"another one is lifted":       {func(v *View) { v.ApplyZoneChanges([]ZoneChange{{"piassa", false, in(2, 22)}}, in(2, 22)) }, []string{"bole"}, nil},
-		"it is seen again and lifted": {func(v *View) { v.SetEvacuations(both, in(2, 22)); v.SetEvacuations(nil, in(2, 23)) }, nil, nil},
-		"a second return":             {func(v *View) { v.SetEvacuations(nil, in(3, 5)) }, both, nil},
-		"a peer that was cut off knows of a third": {func(v *View) {
+		"nothing":                          {func(*View) {}, both, []string{"piassa"}},
+		"it is published again":            {func(v *View) { v.SetEvacuations(both, in(2, 22)) }, both, both},
+		"it is lifted":                     {func(v *View) { v.ApplyZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22)) }, []string{"piassa"}, []string{"piassa"}},
+		"another one is lifted":            {func(v *View) { v.ApplyZoneChanges([]ZoneChange{{"piassa", false, in(2, 22)}}, in(2, 22)) }, []string{"bole"}, nil},
+		"it is published again and lifted": {func(v *View) { v.SetEvacuations(both, in(2, 22)); v.SetEvacuations(nil, in(2, 23)) }, nil, nil},
+		"a second restore":                 {func(v *View) { v.SetEvacuations(nil, in(3, 5)) }, both, nil},
+		"a partitioned peer knows of a third": {func(v *View) {
 			v.MergeEvacuations(Evacuations{Version: in(1, 50), Zones: []string{"merkato"}}, "p")
 		}, []string{"bole", "merkato", "piassa"}, []string{"piassa"}},
-		"a peer that was cut off knows less": {func(v *View) {
+		"a partitioned peer knows less": {func(v *View) {
 			v.MergeEvacuations(Evacuations{Version: in(1, 30), Zones: []string{"merkato"}}, "p")
 		}, both, []string{"piassa"}},
 		"a peer holds it once it is lifted": {func(v *View) {
@@ -155,9 +155,9 @@
 				v := newView(nil)
 				v.o.Now = time.Now
 				v.SetEvacuations([]string{"bole"}, in(1, 40))
-				v.SetEvacuations([]string{"piassa"}, in(2, 21)) // lifted in the seconds that were lost, and evacuated since
+				v.SetEvacuations([]string{"piassa"}, in(2, 21)) // lifted in the seconds that the restore lost, and evacuated since
 				is.Equal(v.CurrentEvacuations().Zones, both)
-				c.happens(v)
+				c.act(v)
 				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.zones))
 				<-time.After(holdAfterRestore + time.Second)
 				synctest.Wait()
@@ -167,8 +167,9 @@
 	}
 }
 
-// One that has just started hears from peers of what the copy lacks, and for how long it is still believed.
-func TestWhoKnowsOnlyTheCopyHearsOfEvacuations(t *testing.T) {
+// An instance that starts after the restore receives the evacuations that the copy lacks from peers,
+// with the time for which they are still held.
+func TestInstanceStartedAfterRestoreReceivesHeldEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		knows, started := newView(nil), newView(nil)
@@ -186,7 +187,7 @@
 	})
 }
 
-func TestAListOutlivesTheReturnOfItsSource(t *testing.T) {
+func TestListOutlivesRestoreOfSource(t *testing.T) {
 	entry := func(id string, sequence, revision int64, leaving bool) Upstream {
 		return Upstream{ID: id, Slots: 1, Sequence: sequence, Revision: revision, Leaving: leaving}
 	}
@@ -205,9 +206,9 @@
 		}
 		v.SetUpstreams(copied, in(2, 14), time.Now())
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started missing, stays ready")
-		v.MergeSourceUptime(time.Minute, "p") // before it came back
+		v.MergeSourceUptime(time.Minute, "p") // from before the restore
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started missing, stays ready")
-		v.applyDoubt("stays", Change{Removed: true, Upstream: Upstream{ID: "stays", Revision: in(1, 9)}}) // of the era before
+		v.applyReadEntry("stays", Change{Removed: true, Upstream: Upstream{ID: "stays", Revision: in(1, 9)}}) // of the previous epoch
 		v.ApplyChanges([]Change{{Upstream: entry("started", 2, in(2, 15), false)}, {Upstream: entry("vanished", 4, in(2, 16), false)}}, in(2, 16), time.Now())
 		is.Equal(states(v), "before ready, dies missing, leaves leaving, started ready, stays ready, vanished ready")
 		<-time.After(v.upstreams.rewritePeriod + time.Second)
@@ -216,9 +217,9 @@
 	})
 }
 
-// An upstream that the copy lacks is given up in its time. Where it writes the same entry again later, it is back: the
-// one that was given up is of the same era, and no copy's.
-func TestAnUpstreamThatWritesItsEntryAgainLateIsBack(t *testing.T) {
+// An upstream that the copy lacks is dropped after the rewrite period. If it writes the same entry again
+// later, it is listed again: the dropped entry is of the same epoch and not from a copy.
+func TestUpstreamThatRewritesItsEntryLateIsListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := newView(nil)
@@ -232,7 +233,7 @@
 		started.Revision = in(2, 20)
 		v.ApplyChanges([]Change{{Upstream: started}}, in(2, 20), time.Now())
 		is.Equal(states(v), "a ready")
-		v.SetUpstreams(nil, in(3, 14), time.Now()) // a second return
+		v.SetUpstreams(nil, in(3, 14), time.Now()) // a second restore
 		<-time.After(v.upstreams.rewritePeriod + time.Second)
 		synctest.Wait()
 		is.Equal(states(v), "")
@@ -242,9 +243,9 @@
 	})
 }
 
-// Operators write again what the store has lost. Once a newer configuration shows that they have, an evacuation that
-// they haven't written again was taken back meanwhile.
-func TestAnEvacuationIsNotHeldForLongOnceOperatorsHaveWrittenAgain(t *testing.T) {
+// Operators publish again what the store has lost. Once a newer configuration shows that they have, an
+// evacuation that they don't publish again soon has ended in the meantime.
+func TestHeldEvacuationIsReleasedSoonerAfterNewConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := newVersionedView()
@@ -256,19 +257,19 @@
 		<-time.After(2 * holdAfterRewrite)
 		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"})
 		v.SetConfiguration(in(2, 22), []byte("50 written again"), time.Now())
-		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"}) // it may be written next
+		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"}) // it may be published next
 		<-time.After(holdAfterRewrite + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(v.CurrentEvacuations().Zones), 0)
 	})
 }
 
-// applyDoubt takes what was read of one upstream.
-func (v *View) applyDoubt(id string, c Change) {
+// applyReadEntry applies the entry read for one upstream.
+func (v *View) applyReadEntry(id string, c Change) {
 	v.updateList("its own word", func(r *roster, now time.Time) { r.applyEntry(now, r.entries[id], c) })
 }
 
-// states names what a view believes of all upstreams, in order.
+// states returns the states of all upstreams in a view, in order.
 func states(v *View) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -280,19 +281,19 @@
 	return strings.Join(out, ", ")
 }
 
-// Both eras meet among instances: one that was cut off holds the earlier one with higher revisions.
-func TestAnInstanceThatWasCutOffTakesTheLaterEra(t *testing.T) {
+// Instances of two epochs exchange lists: a partitioned one has the earlier epoch with higher revisions.
+func TestPartitionedInstanceAdoptsLaterEpoch(t *testing.T) {
 	is := is.New(t)
-	cut, reads := newView(nil), newView(nil)
+	partitioned, reader := newView(nil), newView(nil)
 	list := []Upstream{{ID: "a", Sequence: 2, Revision: in(1, 10)}, {ID: "b", Sequence: 2, Revision: in(1, 90), Leaving: true}}
-	cut.SetUpstreams(list, in(1, 90), time.Now())
-	reads.SetUpstreams([]Upstream{{ID: "a", Sequence: 3, Revision: in(2, 11)}, {ID: "b", Sequence: 1, Revision: in(2, 9)}, {ID: "c", Revision: in(2, 12)}}, in(2, 12), time.Now())
-	reads.MergeUpstreams(cut.ListFor(reads.KnownState()), "cut")
-	is.Equal(reads.ListVersion(), in(2, 12))
-	cut.MergeUpstreams(reads.ListFor(cut.KnownState()), "reads")
-	is.Equal(cut.ListVersion(), in(2, 12))
-	is.Equal(states(cut), "a ready, b leaving, c ready")
-	is.True(!reads.MergeUpstreams(cut.ListFor(reads.KnownState()), "cut")) // they are unlike: their parts are asked for
-	reads.MergeUpstreams(cut.ListFor(reads.KnownState()), "cut")
-	is.Equal(states(reads), "a ready, b leaving, c ready")
+	partitioned.SetUpstreams(list, in(1, 90), time.Now())
+	reader.SetUpstreams([]Upstream{{ID: "a", Sequence: 3, Revision: in(2, 11)}, {ID: "b", Sequence: 1, Revision: in(2, 9)}, {ID: "c", Revision: in(2, 12)}}, in(2, 12), time.Now())
+	reader.MergeUpstreams(partitioned.ListFor(reader.KnownState()), "partitioned")
+	is.Equal(reader.ListVersion(), in(2, 12))
+	partitioned.MergeUpstreams(reader.ListFor(partitioned.KnownState()), "reader")
+	is.Equal(partitioned.ListVersion(), in(2, 12))
+	is.Equal(states(partitioned), "a ready, b leaving, c ready")
+	is.True(!reader.MergeUpstreams(partitioned.ListFor(reader.KnownState()), "partitioned")) // they differ: the differing chunks are requested
+	reader.MergeUpstreams(partitioned.ListFor(reader.KnownState()), "partitioned")
+	is.Equal(states(reader), "a ready, b leaving, c ready")
 }
--- a/internal/view/roster.go
+++ b/internal/view/roster.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// roster is the list of upstreams with what is missing from it for the time being.
+// roster is the list of upstreams, including those that are missing from it for the time being.
 //
-// The source numbers all its changes by one revision. The list's version is the revision at
-// which its content last changed, as far as this instance can know: that of a change, or that
-// of the whole list that was read and found to differ. So of two lists with unlike content
-// one has the higher version, and whoever has the other takes it. The highest revision of
-// an entry wouldn't do: a list that loses an entry keeps it.
+// The source numbers all its changes by one revision. The list's version is the revision at which its
+// content last changed, as far as this instance can know: that of a change, or that of a whole list
+// that was read and found to differ. So of two lists with different content one has the higher
+// version, and an instance with the other one merges it. The highest revision of an entry would not
+// do as the version: it stays the same when the list loses another entry.
 //
-// The source stores entries as they arrive. One that its upstream wrote before another one that is
-// known, and that was held up on its way, changes nothing: it would bring an upstream back that
-// has said that it leaves.
+// The source stores entries in the order in which they arrive. An entry that was delayed, so that it
+// arrives after one that its upstream wrote later, changes nothing: it would list an upstream as
+// available again that has announced that it leaves.
 //
-// Upstreams renew their entries at the source; while it is away, entries lapse
-// though their upstreams live. So an entry that vanishes around an outage is kept as
-// missing until the source has been back for a while, and is handed to peers as such.
+// Upstreams renew their entries at the source. During an outage of the source, entries lapse though
+// their upstreams are running. So an entry that is removed around an outage is kept as missing until
+// the source has been back for a while, and is sent to peers as missing.
 type roster struct {
-	version        int64
-	complete       int64     // revision of the source up to which changes are known
-	asOf           time.Time // when the read was sent that showed the list to be current last
-	entries        map[string]Upstream
-	missing        map[string]time.Time // until when each may come back
-	cold           map[string]time.Time // until when each is cold, by its entry
-	settlesAt      time.Time            // until then, what vanishes is missing and not gone
-	restoringUntil time.Time            // until then, the source may lack what it has lost
-	rewritePeriod  time.Duration        // in which upstreams write their entries again after a return of the source from a copy
+	version  int64
+	complete int64     // revision of the source up to which changes are known
+	asOf     time.Time // when the read was sent that last showed the list to be current
+	entries  map[string]Upstream
+	missing  map[string]time.Time // until when each may come back
+	cold     map[string]time.Time // until when each is cold, by its entry
+
+	settlesAt      time.Time     // until then, removed entries are kept as missing
+	restoringUntil time.Time     // until then, the source may lack entries that a restore lost
+	rewritePeriod  time.Duration // in which upstreams write their entries again after a restore of the source
 	departed       departures
 
-	pending     map[string]*previousState // since the last commit, by ID
+	pending     map[string]*previousState // changed since the last commit, by ID
 	checksums   rosterChecksums           // as of the last commit
-	changes     []changeRecord            // of late, by version
-	droppedUpTo int64                     // the version up to which changes aren't known any more
-	differsAt   int64                     // the version that this list has, and a peer's that differs from it
-	comparedAt  int64                     // the version of the list when its parts were compared with a peer's last
+	changes     []changeRecord            // the change log, by version
+	droppedUpTo int64                     // the change log lacks this version and those before it
+	differsAt   int64                     // the version at which this list differs from a peer's of the same version
+	comparedAt  int64                     // the version at which chunks were last compared with a peer's
 }
 
 func newRoster(rewrite time.Duration) roster {
@@ -48,8 +49,9 @@
 
 func (r *roster) settleUntil(t time.Time) { r.settlesAt = t }
 
-// enterEpoch is called with the position of a list. In a new era the source lacks what it has lost, until that is written
-// again: what is missing isn't gone.
+// enterEpoch handles the position of a received list. In a new epoch the source lacks the entries
+// that the restore lost, until they are written again: upstreams absent from it are missing, not
+// removed.
 func (r *roster) enterEpoch(now time.Time, position int64) {
 	if r.version == 0 || EpochOf(position) <= EpochOf(r.version) {
 		return
@@ -60,8 +62,8 @@
 	}
 }
 
-// replace takes a whole list as the source had it at a revision. Entries that changed later
-// stay as they are. A list from before the last change that is known is of no use.
+// replace sets the whole list as the source had it at a revision. Entries that changed later stay as
+// they are. A list older than the last known change is ignored.
 func (r *roster) replace(now time.Time, list []Upstream, revision int64) {
 	if revision < r.version {
 		return
@@ -77,21 +79,21 @@
 	r.complete = max(r.complete, revision)
 }
 
-// apply takes changes in order, which are complete up to a revision. What is older than the
-// list at hand changes nothing.
+// apply applies changes in order, which are complete up to a revision. Changes older than the list
+// have no effect on it.
 func (r *roster) apply(now time.Time, changes []Change, complete int64) {
 	for _, c := range changes {
 		r.applyOne(now, c)
-		// Also where it changed nothing: a list that was read page by page may hold it already,
-		// under the version of its first page, which others have without it.
+		// The version rises also where the change had no effect: a list that was read page by page
+		// may contain it already, under the version of its first page, at which peers lack it.
 		r.version = max(r.version, c.Upstream.Revision)
 	}
 	r.complete = max(r.complete, complete)
 }
 
-// applyEntry takes what is published of one upstream, in place of the entry that was known when it
-// was read. The version stays: nothing is known of what else has changed by then. One that is gone
-// isn't taken back from peers that haven't heard.
+// applyEntry applies the published entry of one upstream, unless the known entry has changed since
+// the read began. The version stays, since other changes up to it are not known. An upstream removed
+// here is not added again by peers that haven't received the change.
 func (r *roster) applyEntry(now time.Time, known Upstream, c Change) {
 	if r.entries[known.ID] != known || EpochOf(c.Upstream.Revision) != EpochOf(r.version) {
 		return
@@ -114,7 +116,7 @@
 	known, listed := r.entries[u.ID]
 	switch {
 	case listed && u.Revision <= known.Revision:
-		r.recordChange(now, u.ID).notifyPeers = true // the whole list had it already, under an older version
+		r.recordChange(now, u.ID).notifyPeers = true // the whole list contained it already, under an older version
 	case !listed && u.Revision <= r.complete:
 	case c.Unreadable:
 		r.recordChange(now, u.ID).notifyPeers = true
@@ -136,8 +138,8 @@
 	return changed
 }
 
-// put takes an entry unless a newer one is known, and tells whether anything but its
-// revision has changed.
+// put stores an entry unless a newer one is known. It reports whether anything but the revision and
+// the sequence number has changed.
 func (r *roster) put(now time.Time, u Upstream) (changed bool) {
 	known, listed := r.entries[u.ID]
 	switch {
@@ -151,21 +153,21 @@
 	}
 	r.recordChange(now, u.ID)
 	_, wasMissing := r.missing[u.ID]
-	warmed := (!listed || u.Revision > known.Revision) && r.updateCold(now, u)
+	coldChanged := (!listed || u.Revision > known.Revision) && r.updateCold(now, u)
 	u.Cold = 0
 	r.entries[u.ID] = u
 	delete(r.missing, u.ID)
 	known.Revision, known.Sequence = u.Revision, u.Sequence
-	return !listed || wasMissing || warmed || known != u
+	return !listed || wasMissing || coldChanged || known != u
 }
 
-// coldTolerance is by how much an entry may say that its upstream is cold for longer or shorter
-// than was known without being news: it was on its way for so long, or less.
+// coldTolerance is the largest difference between the known and the received end of a cold start
+// that doesn't count as a change: entries give the remaining time, and may be delayed by as much.
 const coldTolerance = 250 * time.Millisecond
 
-// updateCold takes how much longer an upstream is cold, by a new entry of it, and tells whether that
-// is news.
-func (r *roster) updateCold(now time.Time, u Upstream) (news bool) {
+// updateCold records until when an upstream is cold by its new entry. It reports whether that has
+// changed by more than coldTolerance.
+func (r *roster) updateCold(now time.Time, u Upstream) (changed bool) {
 	known, wasCold := r.cold[u.ID]
 	wasCold = wasCold && now.Before(known)
 	if u.Cold <= 0 {
@@ -182,7 +184,8 @@
 	return max(r.cold[id].Sub(now), 0)
 }
 
-// putMissing takes an entry that is missing at a peer.
+// putMissing stores an entry that is missing at a peer, unless a newer one is known. It stays missing
+// until the earlier of the given time and the known one.
 func (r *roster) putMissing(now time.Time, u Upstream, until time.Time) {
 	known, listed := r.entries[u.ID]
 	if u.Revision < known.Revision {
@@ -199,15 +202,15 @@
 	}
 }
 
-// removeAbsent lets vanish what a list lacks that is the whole of what it is to name, unless it changed
-// after the list's revision.
-func (r *roster) removeAbsent(now time.Time, list []Upstream, revision int64, isToName func(id string) bool) (changed bool) {
+// removeAbsent removes the entries that a list lacks, among those in its scope, or marks them as
+// missing. Entries that changed after the list's revision stay.
+func (r *roster) removeAbsent(now time.Time, list []Upstream, revision int64, inScope func(id string) bool) (changed bool) {
 	named := make(map[string]bool, len(list))
 	for _, u := range list {
 		named[u.ID] = true
 	}
 	for id, u := range r.entries {
-		if named[id] || u.Revision > revision || !isToName(id) {
+		if named[id] || u.Revision > revision || !inScope(id) {
 			continue
 		}
 		if r.removeOrMarkMissing(now, id) {
@@ -217,8 +220,8 @@
 	return changed
 }
 
-// removeOrMarkMissing removes an entry, or notes it as missing while the list settles. One that
-// said that it leaves has left.
+// removeOrMarkMissing removes an entry, or marks it as missing while the list settles. An upstream
+// that announced that it leaves is removed in any case.
 func (r *roster) removeOrMarkMissing(now time.Time, id string) (changed bool) {
 	u, listed := r.entries[id]
 	if !listed {
@@ -235,7 +238,7 @@
 	return r.remove(now, id)
 }
 
-// remove removes an entry, and tells whether it was there.
+// remove removes an entry, keeps it as departed, and reports whether it was listed.
 func (r *roster) remove(now time.Time, id string) (changed bool) {
 	u, listed := r.entries[id]
 	if listed {
@@ -253,7 +256,8 @@
 	delete(r.cold, id)
 }
 
-// dropExpired gives up what is missing for too long. Nobody has said that it is gone: it may come back at any time.
+// dropExpired drops the upstreams that have been missing for too long. They aren't kept as departed:
+// no change has reported them as removed, so they may come back at any time.
 func (r *roster) dropExpired(now time.Time) (gone int) {
 	for id, until := range r.missing {
 		if !now.Before(until) {
@@ -264,7 +268,8 @@
 	return gone
 }
 
-// dropMissingFrom gives up what would settle at a time or later, and stops settling then.
+// dropMissingFrom drops the upstreams that may come back until the given time or later, and ends
+// settling if it would last until then. It does nothing while a restore may have lost entries.
 func (r *roster) dropMissingFrom(now, from time.Time) {
 	if now.Before(r.restoringUntil) {
 		return
@@ -279,7 +284,7 @@
 	}
 }
 
-// nextSettle returns when the next missing upstream is to be given up, if there is one.
+// nextSettle returns when the next missing upstream is to be dropped, if there is one.
 func (r *roster) nextSettle() (time.Time, bool) {
 	if len(r.missing) == 0 {
 		return time.Time{}, false
@@ -287,7 +292,8 @@
 	return slices.MinFunc(slices.Collect(maps.Values(r.missing)), time.Time.Compare), true
 }
 
-// prove notes that the source was at a revision when a read was sent at asOf.
+// prove records that a read sent at asOf showed the source at a revision. A list that is complete up
+// to it is current as of then.
 func (r *roster) prove(revision int64, asOf time.Time) {
 	if revision <= r.complete && asOf.After(r.asOf) {
 		r.asOf = asOf
@@ -298,10 +304,10 @@
 	return r.filter(now, func(Upstream) bool { return true })
 }
 
-// filter returns some of the upstreams, in order.
-func (r *roster) filter(now time.Time, which func(Upstream) bool) (out []Upstream) {
+// filter returns the upstreams that a condition holds for, ordered by ID.
+func (r *roster) filter(now time.Time, include func(Upstream) bool) (out []Upstream) {
 	for id, u := range r.entries {
-		if which(u) {
+		if include(u) {
 			u.Cold = r.coldRemaining(now, id)
 			out = append(out, u)
 		}
--- a/internal/view/upstreams.go
+++ b/internal/view/upstreams.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SetUpstreams implements Sink: it takes the whole list.
+// SetUpstreams implements Sink. It sets the whole list as of a revision.
 func (v *View) SetUpstreams(list []Upstream, revision int64, asOf time.Time) {
 	v.updateList("source", func(r *roster, now time.Time) {
 		r.replace(now, list, revision)
@@ -28,11 +28,11 @@
 	v.upstreams.prove(revision, asOf)
 }
 
-// MergeUpstreams takes a peer's list if it is newer than the one at hand. One of the same
-// version proves that the one at hand is as current as the peer's; it needs no upstreams. It tells
-// whether the two are alike as far as is known: where they have the same version and aren't, the peer is to be
-// asked for the parts that differ (see Have).
-func (v *View) MergeUpstreams(l List, peer string) (alike bool) {
+// MergeUpstreams merges a peer's list if it is newer than this one. A list of the same version needs
+// no upstreams: it shows that this list is as current as the peer's. MergeUpstreams reports whether
+// the two are identical as far as is known. If it returns false, they differ though they have the
+// same version, and the differing chunks should be requested from the peer (see KnownState).
+func (v *View) MergeUpstreams(l List, peer string) (identical bool) {
 	if l.Version < v.ListVersion() || l.Version == 0 {
 		return true
 	}
@@ -45,8 +45,8 @@
 	return v.compare(l, peer)
 }
 
-// compare notes whether the list is like the one that a peer has handed over.
-func (v *View) compare(l List, peer string) (alike bool) {
+// compare records and reports whether the list is identical to the one that a peer sent.
+func (v *View) compare(l List, peer string) (identical bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
@@ -61,7 +61,7 @@
 	if l.Chunks != nil {
 		r.comparedAt = r.version
 	}
-	known := r.comparedAt == r.version // what this instance knows better stays as it is
+	known := r.comparedAt == r.version // the remaining differences are newer entries of this instance
 	if !known {
 		r.differsAt = r.version
 	}
@@ -71,22 +71,22 @@
 	return known
 }
 
-// KnownState returns what is known of the list, for a peer that is asked for it.
+// KnownState returns what is known of the list, to be sent to a peer with a request for its list.
 func (v *View) KnownState() KnownState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
-	have := KnownState{Version: r.version}
+	known := KnownState{Version: r.version}
 	if r.version > 0 && r.differsAt == r.version {
-		have.Checksums = slices.Clone(r.checksums.listed[:])
+		known.Checksums = slices.Clone(r.checksums.listed[:])
 	}
-	return have
+	return known
 }
 
-// MergeSourceUptime takes a peer's word that the source was there all the time for so long. What
-// is missing after an outage within it didn't lapse, but has left: an instance whose own
-// connections failed would otherwise go on using it until it has settled.
-func (v *View) MergeSourceUptime(steady time.Duration, peer string) {
+// MergeSourceUptime merges a peer's report that it has reached the source without interruption for a
+// duration. Upstreams missing after an outage within that duration haven't lapsed, but were removed:
+// an instance whose own connections failed would otherwise keep using them until its list has settled.
+func (v *View) MergeSourceUptime(uptime time.Duration, peer string) {
 	v.mu.Lock()
 	settles := v.upstreams.settlesAt.After(v.o.Now()) || len(v.upstreams.missing) > 0
 	v.mu.Unlock()
@@ -94,16 +94,16 @@
 		return
 	}
 	v.updateList("steady peer "+peer, func(r *roster, now time.Time) {
-		r.dropMissingFrom(now, now.Add(v.o.SettlePeriod+v.o.LapseAfter-steady))
+		r.dropMissingFrom(now, now.Add(v.o.SettlePeriod+v.o.LapseAfter-uptime))
 	})
 }
 
-// dropExpired gives up what is missing for too long.
+// dropExpired drops the upstreams that have been missing for too long.
 func (v *View) dropExpired() {
 	v.updateList("settled", func(r *roster, now time.Time) { r.dropExpired(now) })
 }
 
-// updateList changes the list. Who uses it is told, and the log, if anything has.
+// updateList applies a function to the list, and logs and reports the difference if there is one.
 func (v *View) updateList(from string, f func(*roster, time.Time)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 	if version > 0 && EpochOf(r.version) > EpochOf(version) {
 		v.o.Log.Warn().Str("event", "source_restored").Int64("version", r.version).Int64("version_before", version).
-			Dur("settling", max(r.settlesAt.Sub(now), 0)).Str("from", from).Msg("the source came back from a copy")
+			Dur("settling", max(r.settlesAt.Sub(now), 0)).Str("from", from).Msg("the source was restored from a copy; upstreams absent from it count as missing while the list settles")
 	}
 	change, states := r.commit(now)
 	if states == "" && len(change.Changed) == 0 && version == r.version {
@@ -131,7 +131,7 @@
 	}
 }
 
-// scheduleSettle lets settle be called at a time. The caller holds the lock.
+// scheduleSettle sets the timer that drops expired missing upstreams. The caller holds the lock.
 func (v *View) scheduleSettle(t time.Time) {
 	if v.settleTimer == nil {
 		v.settleTimer = time.AfterFunc(t.Sub(v.o.Now()), v.dropExpired)
@@ -143,11 +143,12 @@
 // List returns the whole list.
 func (v *View) List() List { return v.ListFor(KnownState{WholeOnly: true}) }
 
-// ListFor returns the list for a peer, by what it has.
-func (v *View) ListFor(have KnownState) List {
+// ListFor returns the list to send to a peer that has the given state: only the changes, where that
+// is enough.
+func (v *View) ListFor(known KnownState) List {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.upstreams.listFor(v.o.Now(), have)
+	return v.upstreams.listFor(v.o.Now(), known)
 }
 
 // ListCount returns how many upstreams are on the list.
@@ -164,8 +165,8 @@
 	return v.upstreams.version
 }
 
-// ListAge returns how long ago the read was sent that showed the list to be current last;
-// known is false while there is no list.
+// ListAge returns how long ago the read was sent that last showed the list to be current; known is
+// false while there is no list.
 func (v *View) ListAge() (age time.Duration, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,11 +1,3 @@
-// Package view holds what an instance believes of the routed configuration and of
-// the upstreams, from where it learned it, and as of when.
-//
-// Belief comes from a Source and from peers. The configuration never goes back to an
-// older version within a process, whatever the source says: it may come back from an older
-// copy of itself, and give its revisions out again (see Position). Its age is counted on the steady clock from the
-// moment at which the read that proved it was sent, so that it can serve as a lease:
-// see Fresh.
 package view
 
 import (
@@ -25,82 +17,83 @@
 
 // Source reads the configuration and the upstreams from where they are published.
 type Source interface {
-	// Run tells the sink what is published, until ctx ends. It blocks.
+	// Run passes what is published to the sink, until ctx ends. It blocks.
 	Run(ctx context.Context, sink Sink)
-	// Decode turns a published configuration into a document.
+	// Decode decodes a published configuration into a document.
 	Decode(content []byte) (*routing.Document, error)
-	// ReadEntry reads what is published of one upstream now. It blocks, for a bounded time. An entry that
-	// makes no sense is a change that says so, beside the error.
+	// ReadEntry reads the published entry of one upstream. It blocks, for a bounded time. For an
+	// invalid entry it returns a change that is marked Unreadable, along with the error.
 	ReadEntry(ctx context.Context, id string) (Change, error)
 }
 
-// Sink takes what a Source reads. Its methods may be called by several goroutines.
+// Sink receives what a Source reads. Its methods may be called by several goroutines.
 type Sink interface {
-	// SetConfiguration is what was published under a revision, as of a time: the moment
-	// at which the read was sent.
+	// SetConfiguration passes the configuration published under a revision. The read that returned
+	// it was sent at asOf.
 	SetConfiguration(revision int64, content []byte, asOf time.Time)
-	// SetUpstreams is the whole list, as the source had it at a revision. The read was sent
-	// at asOf.
+	// SetUpstreams passes the whole list, as the source had it at a revision. The read was sent at
+	// asOf.
 	SetUpstreams(list []Upstream, revision int64, asOf time.Time)
-	// ApplyChanges are what happened to the list since, in order, up to a revision.
+	// ApplyChanges passes the changes of the list since, in order, up to a revision.
 	ApplyChanges(changes []Change, revision int64, asOf time.Time)
-	// ProveCurrent is the source's revision, as a read shows it that was sent at asOf. A list
-	// that is complete up to it is proved current.
+	// ProveCurrent passes the source's revision, as a read showed it that was sent at asOf. A list
+	// that is complete up to it is current as of then.
 	ProveCurrent(revision int64, asOf time.Time)
-	// SetEvacuations is all availability zones that are evacuated, as the source had them at a
-	// revision. It is told ahead of the configuration that the same read brought, so that whoever
-	// has a configuration knows them as of the same time.
+	// SetEvacuations passes all availability zones that are evacuated, as the source had them at a
+	// revision. It is called before the configuration of the same read is passed, so that an instance
+	// that has a configuration knows the evacuations as of the same time.
 	SetEvacuations(zones []string, revision int64)
-	// ApplyZoneChanges are evacuations that began and ended since, in order, up to a revision.
+	// ApplyZoneChanges passes evacuations that have begun and ended since, in order, up to a revision.
 	ApplyZoneChanges(changes []ZoneChange, revision int64)
-	// SourceReached and Unreachable tell whether the source answers.
+	// SourceReached and SourceUnreachable report whether the source responds.
 	SourceReached()
 	SourceUnreachable(reading string, err error)
-	// ReportMalformed tells of a published entry that makes no sense and is left out.
+	// ReportMalformed reports a published entry that is invalid and left out.
 	ReportMalformed(err error)
-	// ReportListRead tells of a whole list that was read, for the log.
+	// ReportListRead reports the read of a whole list, for the log.
 	ReportListRead(r ListRead)
 }
 
-// ListRead is how a whole list was read.
+// ListRead describes the read of a whole list.
 type ListRead struct {
-	// Cause is why the changes alone didn't do; nil for the first list.
+	// Cause is why the changes alone were not enough; nil for the first list.
 	Cause error
 	// Revision up to which the list is complete.
 	Revision int64
-	Pages    int
-	// Took is the time from the first read's sending to the last one's answer.
+	// Pages is the number of pages read.
+	Pages int
+	// Took is the time from sending the first read to the response to the last one.
 	Took time.Duration
 }
 
-// Upstream is one process that runs requests. A restart is another upstream.
+// Upstream is one process that runs requests. A restarted process is another upstream.
 type Upstream struct {
-	// ID names this start of it.
+	// ID identifies one start of the process.
 	ID string `cbor:"1,keyasint"`
 	// Service that it belongs to.
 	Service string `cbor:"2,keyasint"`
-	// Address as IP:port. Another upstream may take it over later.
+	// Address as IP:port. Another upstream may use it later.
 	Address string `cbor:"3,keyasint"`
 	// Zone is its availability zone.
 	Zone string `cbor:"4,keyasint"`
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int `cbor:"5,keyasint"`
-	// Leaving upstreams get nothing new.
+	// Leaving upstreams get no new requests.
 	Leaving bool `cbor:"6,keyasint,omitempty"`
 	// Revision of its entry; higher is newer.
 	Revision int64 `cbor:"7,keyasint"`
-	// Incarnation tells its processes apart: one that starts again under its ID holds and knows
-	// nothing of what the one before did. 0 where it isn't told.
+	// Incarnation distinguishes processes under one ID: a process that starts again under its ID has
+	// no requests and no state of the previous one. 0 is unknown.
 	Incarnation int64 `cbor:"8,keyasint,omitempty"`
-	// Sequence counts what one process writes of itself; 0 where it isn't told.
+	// Sequence counts the entries that one process has written of itself; 0 is unknown.
 	Sequence int64 `cbor:"9,keyasint,omitempty"`
-	// Cold is how much longer it is cold, as of the moment at which the entry, or a list that it
-	// is on, is handed over.
+	// Cold is how much longer it is cold, as of the moment at which the entry, or a list with it, is
+	// passed on.
 	Cold time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// writtenBefore tells whether its entry was written before another one of the same upstream, by
-// their writers' own word. The source may store them in another order, where one was held up.
+// writtenBefore reports whether the upstream wrote this entry before another one, by incarnation and
+// sequence number. The source may store them in another order, where a write was delayed.
 func (u Upstream) writtenBefore(other Upstream) bool {
 	if u.Incarnation != other.Incarnation {
 		return u.Incarnation > 0 && u.Incarnation < other.Incarnation
@@ -110,9 +103,9 @@
 
 // Change is one change of the list.
 type Change struct {
-	// Removed is set, with ID and revision alone, when the upstream left the list, and
-	// Unreadable when its entry is there and names no upstream that can be used.
-	Removed    bool
+	// Removed is set when the upstream has left the list; Upstream then has ID and revision only.
+	Removed bool
+	// Unreadable is set when the entry exists but describes no usable upstream.
 	Unreadable bool
 	Upstream   Upstream
 }
@@ -120,50 +113,51 @@
 // Options of a View.
 type Options struct {
 	Source Source
-	// Lease is how old the configuration may be for requests under an API key.
+	// Lease is the maximum age of the configuration for requests under an API key.
 	Lease time.Duration
-	// ServeStale lets it decide on them past the lease, too.
+	// ServeStale allows such requests past the lease, too.
 	ServeStale bool
-	// SettlePeriod is the time after a return of the source in which upstreams that are
-	// missing from the list may come back to it.
+	// SettlePeriod is the time after an outage of the source in which upstreams that are missing from
+	// the list may come back to it.
 	SettlePeriod time.Duration
-	// LapseAfter is the shortest outage of the source in which entries may lapse though
-	// their upstreams live.
+	// LapseAfter is the shortest outage of the source in which entries may lapse though their
+	// upstreams are running.
 	LapseAfter time.Duration
-	// OnUpstreams is called with what has changed of the list after a change of it, one call at a
-	// time. It is called while beliefs are locked, and may not ask for them.
+	// OnUpstreams is called with the difference after each change of the list, one call at a time.
+	// The View is locked during the call, so it must not call the View.
 	OnUpstreams func(ListChange)
-	// OnEvacuations is called with the zones that are evacuated after a change of them, one call
-	// at a time.
+	// OnEvacuations is called with the evacuated zones after each change of them, one call at a time.
 	OnEvacuations func(zones []string)
 	// OnTable is called after a new configuration came into force.
 	OnTable func(*routing.Table)
-	// Now tells the time that goes on while the machine is suspended; boottime.Now where absent.
+	// Now returns the time by a clock that also advances while the machine is suspended; the default
+	// is boottime.Now.
 	Now     func() time.Time
 	Metrics *telemetry.Metrics
 	Log     *log.Logger
 }
 
-// View is what one instance believes. Safe for concurrent use.
+// View is one instance's view of the configuration, the upstreams and the evacuations. It is safe for
+// concurrent use.
 type View struct {
 	o Options
 
 	mu              sync.Mutex
 	configuration   Configuration
 	table           *routing.Table
-	lastRefused     olderConfiguration // the last one that was refused
+	lastRefused     refusedConfiguration
 	asOf            time.Time
-	uptimeSince     time.Time // no gap between two proofs since was as long as Lapse
+	uptimeSince     time.Time // since then, no two proofs were LapseAfter or more apart
 	upstreams       roster
 	evacuations     evacuations
 	settleTimer     *time.Timer // nil until an upstream was missing
 	reachable       bool
 	everReached     bool
 	loggedMalformed map[string]bool      // causes that were logged
-	recheckedAt     map[string]time.Time // when the entries of upstreams that may leave were read, by ID
+	recheckedAt     map[string]time.Time // when the entries of upstreams that may leave were last read, by ID
 }
 
-// Configuration is a published configuration as it is handed to peers.
+// Configuration is a published configuration as it is sent to peers.
 type Configuration struct {
 	Revision int64
 	Content  []byte
@@ -180,8 +174,8 @@
 // Run follows the source until ctx ends.
 func (v *View) Run(ctx context.Context) { v.o.Source.Run(ctx, v) }
 
-// Table returns the configuration in force and its age, or nil while none is known, or while it
-// isn't known which availability zones are evacuated.
+// Table returns the configuration in force and its age. It returns nil while no configuration or no
+// evacuations are known.
 func (v *View) Table() (*routing.Table, time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -191,22 +185,23 @@
 	return v.table, v.o.Now().Sub(v.asOf)
 }
 
-// IsUsable tells whether a configuration of this age may still decide on API keys.
+// IsUsable reports whether a configuration of this age may still decide on API keys: within the
+// lease, or at any age with ServeStale.
 func (v *View) IsUsable(age time.Duration) bool { return age < v.o.Lease || v.o.ServeStale }
 
-// SetConfiguration takes what the source published. It implements Sink.
+// SetConfiguration implements Sink.
 func (v *View) SetConfiguration(revision int64, content []byte, asOf time.Time) {
 	v.offer(Configuration{Revision: revision, Content: content}, asOf, "source")
 }
 
-// MergeConfiguration takes a configuration that a peer handed over.
+// MergeConfiguration merges a configuration that a peer sent.
 func (v *View) MergeConfiguration(c Configuration, asOf time.Time, peer string) {
 	if c.Revision > 0 {
 		v.offer(c, asOf, "peer "+peer)
 	}
 }
 
-// PublishedConfiguration returns the configuration for a peer, and its age.
+// PublishedConfiguration returns the configuration to send to a peer, and its age.
 func (v *View) PublishedConfiguration() (Configuration, time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -223,18 +218,19 @@
 	return v.configuration.Revision
 }
 
-// Age returns how old the configuration is; Known is false while there is none in force.
+// Age returns the age of the configuration; known is false while there is none in force.
 func (v *View) Age() (age time.Duration, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.o.Now().Sub(v.asOf), v.isInForce()
 }
 
-// isInForce tells whether requests may be served by what is known. The caller holds the lock.
+// isInForce reports whether a configuration and the evacuations are known, so that requests may be
+// served. The caller holds the lock.
 func (v *View) isInForce() bool { return v.table != nil && v.evacuations.version > 0 }
 
-// offer takes a configuration from any side: an older one is ignored, the same one
-// is confirmed, a newer one comes into force if it is valid.
+// offer handles a configuration from the source or a peer: an older one is ignored, the same one
+// confirms the one in force, and a newer one comes into force if it is valid.
 func (v *View) offer(c Configuration, asOf time.Time, from string) {
 	if v.confirm(c, asOf, from) {
 		return
@@ -256,8 +252,8 @@
 	}
 }
 
-// confirm handles what needn't be decoded: the configuration in force, and older ones of its era. It tells whether
-// it did.
+// confirm handles configurations that needn't be decoded: the one in force, older ones of its epoch,
+// and the last one refused. It reports whether this was one of them.
 func (v *View) confirm(c Configuration, asOf time.Time, from string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -278,8 +274,8 @@
 	return true
 }
 
-// olderConfiguration is one that was refused since a newer one is in force.
-type olderConfiguration struct{ revision, version int64 }
+// refusedConfiguration is one that was refused because a newer one is in force.
+type refusedConfiguration struct{ revision, version int64 }
 
 // logOlder counts and logs an older configuration. The caller holds the lock.
 func (v *View) logOlder(revision int64, from string) {
@@ -295,26 +291,27 @@
 func (v *View) build(content []byte) (*routing.Table, error) {
 	d, err := v.o.Source.Decode(content)
 	if err != nil {
-		return nil, fmt.Errorf("publish a configuration that decodes: %w", err)
+		return nil, fmt.Errorf("decode the published configuration: %w", err)
 	}
 	return routing.Build(d)
 }
 
-// accept brings a configuration into force, unless it is older than what is. Its own version orders it, since a source
-// that comes back from a copy publishes what is older than what is in force; of one version the later position holds.
+// accept brings a configuration into force, unless it is older than the one in force. Configurations
+// are ordered by the version that they contain, since a restored source may publish an older one
+// under a newer position; of two with the same version, the one with the later position wins.
 //
-// An older configuration proves nothing of the one in force, also where the source has no newer one: what the source
-// has lost may have been newer.
+// An older configuration doesn't confirm the one in force, also where it is the newest that the
+// source has: the source may have lost a newer one than both.
 func (v *View) accept(c Configuration, table *routing.Table, asOf time.Time, from string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.table != nil && !isNewer(table.Version, c.Revision, v.table.Version, v.configuration.Revision) {
-		v.lastRefused = olderConfiguration{c.Revision, table.Version}
+		v.lastRefused = refusedConfiguration{c.Revision, table.Version}
 		v.logOlder(c.Revision, from)
 		return false
 	}
 	if EpochOf(c.Revision) < EpochOf(v.configuration.Revision) {
-		v.asOf = time.Time{} // reads of the copy proved what it held
+		v.asOf = time.Time{} // reads of the restored copy confirmed only its own content
 	}
 	if EpochOf(c.Revision) == EpochOf(v.evacuations.version) {
 		v.evacuations.shortenHold(v.o.Now())
@@ -322,17 +319,17 @@
 	}
 	v.configuration = c
 	v.table = table
-	v.prove(asOf) // or what was proved of the older one holds of this one too
+	v.prove(asOf) // a later proof of the previous configuration holds for this one too
 	return true
 }
 
-// isNewer compares the versions and positions of two configurations.
+// isNewer compares two configurations by version, then by position.
 func isNewer(version, position, otherVersion, otherPosition int64) bool {
 	return cmp.Or(cmp.Compare(version, otherVersion), cmp.Compare(position, otherPosition)) > 0
 }
 
-// IsOlderThan tells whether a configuration of a version and position is newer than the one in force. A version of 0
-// isn't told.
+// IsOlderThan reports whether the configuration in force is older than one with the given version and
+// position. A version of 0 is unknown; the positions alone are compared then.
 func (v *View) IsOlderThan(version, position int64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -342,7 +339,7 @@
 	return isNewer(version, position, v.table.Version, v.configuration.Revision)
 }
 
-// Version returns the own version of the configuration in force, 0 while there is none.
+// Version returns the version that the configuration in force contains, 0 while there is none.
 func (v *View) Version() int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -352,8 +349,8 @@
 	return v.table.Version
 }
 
-// prove notes when the read was sent that proved the configuration. The caller holds the
-// lock.
+// prove records when the read was sent that confirmed the configuration in force. The caller holds
+// the lock.
 func (v *View) prove(asOf time.Time) {
 	if !asOf.After(v.asOf) {
 		return
@@ -364,8 +361,8 @@
 	v.asOf = asOf
 }
 
-// SourceUptime returns for how long the configuration was proved all the time, without a gap in
-// which entries may lapse; 0 within such a gap.
+// SourceUptime returns for how long the configuration has been confirmed without a gap in which
+// entries may lapse; 0 within such a gap.
 func (v *View) SourceUptime() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -375,7 +372,7 @@
 	return v.o.Now().Sub(v.uptimeSince)
 }
 
-// SourceReached implements Sink.
+// SourceReached implements Sink. After an outage for all instances it lets the list settle.
 func (v *View) SourceReached() {
 	v.mu.Lock()
 	back := !v.reachable
@@ -391,10 +388,10 @@
 	}
 }
 
-// sourceWasAway tells whether the source was away for all, so that entries may have lapsed:
-// not even a peer could prove the configuration. Otherwise only this instance didn't
-// reach it, and what is missing is gone. Where peers didn't tell of their proofs yet, it
-// may be wrong; see SourceWasThere. The caller holds the lock.
+// sourceWasAway reports whether the source was unreachable for all instances, so that entries may
+// have lapsed: not even a peer could confirm the configuration. Otherwise only this instance couldn't
+// reach it, and what is missing was removed. The result may be wrong while peers haven't yet sent
+// their confirmations; see MergeSourceUptime. The caller holds the lock.
 func (v *View) sourceWasAway() bool {
 	return v.table != nil && v.o.Now().Sub(v.asOf) >= v.o.LapseAfter
 }
@@ -421,20 +418,19 @@
 	line.Msg("")
 }
 
-// maxMalformedLogged bounds the entries that make no sense of which it is remembered that the log
-// names them.
+// maxMalformedLogged is the number of malformed entries remembered as logged.
 const maxMalformedLogged = 64
 
-// ReportMalformed implements Sink. Each is logged once, however often it is read.
+// ReportMalformed implements Sink. Each entry is logged once, however often it is read.
 func (v *View) ReportMalformed(err error) {
 	v.o.Metrics.Count("tacktally_source_malformed_total")
 	if v.wasLogged(err.Error()) {
 		return
 	}
-	v.o.Log.Error().Str("event", "entry_malformed").Str("cause", err.Error()).Msg("it is left out; mend what registers it")
+	v.o.Log.Error().Str("event", "entry_malformed").Str("cause", err.Error()).Msg("the malformed entry is left out; fix the process that registers it")
 }
 
-// wasLogged tells whether a malformed entry was logged before, and notes that it is.
+// wasLogged reports whether a malformed entry was logged before, and records it as logged.
 func (v *View) wasLogged(cause string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -18,15 +18,15 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// source decodes a content as the name of its only route. Published are its entries by ID, and asked
-// counts the reads of them; nil publishes none.
+// source decodes a content as the name of its only route. Published are its entries by ID, and reads
+// counts the reads of each; nil publishes none.
 type source struct {
 	published map[string]Upstream
-	asked     map[string]int
+	reads     map[string]int
 }
 
 func (s source) ReadEntry(_ context.Context, id string) (Change, error) {
-	s.asked[id]++
+	s.reads[id]++
 	u, listed := s.published[id]
 	switch {
 	case !listed:
@@ -54,7 +54,7 @@
 	}, nil
 }
 
-// newView returns a view that knows that no zone is evacuated, and nothing else.
+// newView returns a view that knows only that no zone is evacuated.
 func newView(onUpstreams func(ListChange)) *View {
 	v := New(Options{
 		Source: source{}, Lease: 5 * time.Second, SettlePeriod: 2 * time.Second, LapseAfter: 2 * time.Second, OnUpstreams: onUpstreams,
@@ -64,9 +64,9 @@
 	return v
 }
 
-// Two instances hold unlike lists under one version: one of them keeps what vanished, since it
-// settles. Their logs show it.
-func TestLogsTellUnlikeListsOfOneVersionApart(t *testing.T) {
+// Two instances have different lists of one version: one of them keeps a removed upstream as missing,
+// since its list settles. Their logs show the difference.
+func TestLogDigestDiffersForDifferentListsOfOneVersion(t *testing.T) {
 	is := is.New(t)
 	var first, second bytes.Buffer
 	steady, settling := newView(nil), newView(nil)
@@ -83,8 +83,8 @@
 	is.True(milliseconds(t, there, "settling") > 0)
 }
 
-// A list that had to be read anew says why, and how long that took.
-func TestLogsTellWhyAListWasReadAnew(t *testing.T) {
+// When a list had to be read again, the log gives the cause and the duration.
+func TestLogNamesCauseOfListRead(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	v := newView(nil)
@@ -118,9 +118,9 @@
 	return strings.Trim(value, `"`)
 }
 
-// A list that was read page by page may hold what changed meanwhile, under the version of its first
-// page. Once the change itself comes, the list has its version, so that peers that have none of it ask.
-func TestAChangeThatIsKnownAlreadyRaisesTheVersion(t *testing.T) {
+// A list that was read page by page may contain a later change, under the version of its first page.
+// Once the change itself arrives, the list gets its version, so that peers without it request the list.
+func TestKnownChangeRaisesListVersion(t *testing.T) {
 	is := is.New(t)
 	paged, behind := newView(nil), newView(nil)
 	paged.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 3, time.Now()) // b was removed at 4, before the last page
@@ -131,8 +131,8 @@
 	is.Equal(ids(behind.List().Upstreams), []string{"a"})
 }
 
-// A peer of a version that doesn't tell the numbers of entries is believed by their revisions.
-func TestEntriesWithoutANumberGoByTheirRevision(t *testing.T) {
+// Entries from a peer whose release sends no sequence numbers are ordered by revision.
+func TestEntriesWithoutSequenceAreOrderedByRevision(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
 	v.SetUpstreams([]Upstream{{ID: "a", Revision: 1, Sequence: 9, Incarnation: 7}}, 1, time.Now())
@@ -140,64 +140,64 @@
 	is.True(v.List().Upstreams[0].Leaving)
 }
 
-// An upstream's answers say that it closes its connections, as those of one that leaves do, and the list
-// hasn't heard. Its entry alone is read, once in a while; the list keeps its version, since nothing is
-// known of what else has changed.
-func TestTheWordOfAnUpstreamItselfIsLookedInto(t *testing.T) {
+// An upstream's responses close their connections, as those of one that leaves do, and the list has it
+// as available. Only its entry is read, at most once per interval; the list keeps its version, since
+// other changes aren't known.
+func TestRecheckUpstreamReadsItsEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		published map[string]Upstream
-		left      string // what the list still offers
+		left      string // upstreams that are still available
 	}{
-		"it leaves":                {map[string]Upstream{"b": {ID: "b", Revision: 9, Leaving: true}}, "a"},
-		"it is gone":               {nil, "a"},
-		"its entry makes no sense": {map[string]Upstream{"b": {ID: "b", Revision: 9, Slots: -1}}, "a"},
-		"it stays":                 {map[string]Upstream{"b": {ID: "b", Revision: 2}}, "a b"},
-		"its entry can't be read":  {map[string]Upstream{"b": {ID: "b"}}, "a b"},
+		"it leaves":               {map[string]Upstream{"b": {ID: "b", Revision: 9, Leaving: true}}, "a"},
+		"it is removed":           {nil, "a"},
+		"its entry is invalid":    {map[string]Upstream{"b": {ID: "b", Revision: 9, Slots: -1}}, "a"},
+		"it stays":                {map[string]Upstream{"b": {ID: "b", Revision: 2}}, "a b"},
+		"its entry can't be read": {map[string]Upstream{"b": {ID: "b"}}, "a b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				v := newView(nil)
-				asked := map[string]int{}
-				v.o.Source = source{published: c.published, asked: asked}
+				reads := map[string]int{}
+				v.o.Source = source{published: c.published, reads: reads}
 				list := []Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}
 				v.SetUpstreams(list, 3, time.Now())
 				for range 5 {
 					v.RecheckUpstream("b")
 					synctest.Wait()
 				}
-				is.Equal(asked["b"], 1)
-				is.Equal(offered(v), c.left)
+				is.Equal(reads["b"], 1)
+				is.Equal(available(v), c.left)
 				is.Equal(v.ListVersion(), int64(3))
-				v.MergeUpstreams(List{Version: 4, Upstreams: list}, "a peer that hasn't heard")
-				is.Equal(offered(v), c.left)
+				v.MergeUpstreams(List{Version: 4, Upstreams: list}, "a peer without the change")
+				is.Equal(available(v), c.left)
 				v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 12}}, 12, time.Now()) // it is back
-				is.Equal(offered(v), "a b")
+				is.Equal(available(v), "a b")
 				wait.For(t.Context(), recheckInterval)
 				v.RecheckUpstream("b")
 				synctest.Wait()
-				is.Equal(asked["b"], 2)
+				is.Equal(reads["b"], 2)
 				v.RecheckUpstream("unknown")
 				synctest.Wait()
-				is.Equal(asked["unknown"], 0)
+				is.Equal(reads["unknown"], 0)
 			})
 		})
 	}
 }
 
-// An entry that was read while another one came changes nothing.
-func TestAnEntryThatWasReadTooEarlyChangesNothing(t *testing.T) {
+// A read entry is ignored if a newer one was received during the read.
+func TestEntryReadBeforeAChangeIsIgnored(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
 	v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 1, time.Now())
 	read := v.List().Upstreams[0]
 	v.ApplyChanges([]Change{{Upstream: Upstream{ID: "a", Revision: 2, Slots: 4}}}, 2, time.Now())
 	v.upstreams.applyEntry(time.Now(), read, Change{Removed: true, Upstream: Upstream{ID: "a"}})
-	is.Equal(offered(v), "a")
+	is.Equal(available(v), "a")
 }
 
-// offered names the upstreams that get requests.
-func offered(v *View) string {
+// available names the upstreams that get requests.
+func available(v *View) string {
 	var out []string
 	for _, u := range v.List().Upstreams {
 		if !u.Leaving {
@@ -207,8 +207,8 @@
 	return strings.Join(out, " ")
 }
 
-// inTouch returns a view that has reached its source and has a configuration.
-func inTouch(onUpstreams func(ListChange)) *View {
+// newReachedView returns a view that has reached its source and has a configuration.
+func newReachedView(onUpstreams func(ListChange)) *View {
 	v := newView(onUpstreams)
 	v.SourceReached()
 	v.SetConfiguration(7, []byte("seven"), time.Now())
@@ -237,7 +237,7 @@
 	is.Equal(inForce(v), "eight")
 }
 
-func TestInvalidConfigurationLeavesWhatIsInForce(t *testing.T) {
+func TestInvalidConfigurationIsNotApplied(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
 	v.SetConfiguration(7, []byte("seven"), time.Now())
@@ -259,13 +259,13 @@
 		is.Equal(age, time.Duration(0))
 		<-time.After(5 * time.Second)
 		_, age = v.Table()
-		is.True(!v.IsUsable(age)) // the lease is over
+		is.True(!v.IsUsable(age)) // the lease has expired
 	})
 }
 
-// A watch that waited for long brings a change. The configuration before it was proved
-// meanwhile, and holds all that was taken away until then; the new one does so too.
-func TestAChangeKeepsTheAgeThatWasProved(t *testing.T) {
+// A watch that was sent long ago returns a change. The previous configuration was confirmed by a later
+// read, so it contained every revocation until then; so does the new one.
+func TestNewConfigurationKeepsLaterProof(t *testing.T) {
 	is := is.New(t)
 	v := newView(nil)
 	proved := time.Now()
@@ -286,11 +286,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var list []Upstream
-		v := inTouch(following(&list))
+		v := newReachedView(following(&list))
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3, Leaving: true}}, 3, time.Now())
-		outage(v) // and nobody else reached it either
+		outage(v) // and no peer reached it either
 		v.SetUpstreams(nil, 6, time.Now())
-		is.Equal(ids(list), []string{"a", "b"}) // c said that it leaves
+		is.Equal(ids(list), []string{"a", "b"}) // c announced that it leaves
 		v.ApplyChanges([]Change{{Upstream: Upstream{ID: "a", Revision: 9}}}, 9, time.Now())
 		<-time.After(2 * time.Second)
 		synctest.Wait()
@@ -298,13 +298,13 @@
 	})
 }
 
-// An instance that the source turned away, or that was cut off from it, heard from its
-// peers that it was there. What it finds missing then is gone.
-func TestEntriesThatVanishWhileAPeerReachedTheSourceAreGone(t *testing.T) {
+// An instance that the source rejected, or that was partitioned from it, has received from its peers
+// that they reached it. Entries that it then finds absent were removed.
+func TestEntriesAbsentWhileAPeerReachedTheSourceAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var list []Upstream
-		v := inTouch(following(&list))
+		v := newReachedView(following(&list))
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		v.SourceUnreachable("list", errors.New("turned away"))
 		<-time.After(9 * time.Second)
@@ -315,14 +315,14 @@
 	})
 }
 
-// An instance alone found the source away, since its connections had gone silent, and keeps
-// what it misses as after an outage for all. A peer that reached the source all the time says
-// so: what is missing has left. One that reached it for a shorter time can't know.
-func TestAPeerThatReachedTheSourceEndsTheWaitForWhatIsMissing(t *testing.T) {
+// Only one instance lost the source, since its connections had gone silent, and it keeps absent entries
+// as missing as after an outage for all. A peer that reached the source throughout reports so: the
+// missing entries were removed. A peer that has reached it for a shorter time can't know.
+func TestPeerSourceUptimeEndsWaitForMissingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var list []Upstream
-		v := inTouch(following(&list))
+		v := newReachedView(following(&list))
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		outage(v)
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 4, time.Now())
@@ -332,17 +332,17 @@
 		v.MergeSourceUptime(2*time.Second, "p")
 		is.Equal(ids(list), []string{"a"})
 		v.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "a", Revision: 5}}}, 5, time.Now())
-		is.Equal(len(list), 0) // it doesn't settle any more
+		is.Equal(len(list), 0) // the list no longer settles
 	})
 }
 
-// An entry that can't be read any more hasn't lapsed: its upstream is out of use at once, also
-// while the list settles after an outage.
-func TestAnEntryThatBecomesUnreadableIsNotMissing(t *testing.T) {
+// An entry that has become unreadable hasn't lapsed: its upstream is removed at once, also while the
+// list settles after an outage.
+func TestUnreadableEntryIsRemovedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var list []Upstream
-		v := inTouch(following(&list))
+		v := newReachedView(following(&list))
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		outage(v)
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}}, 4, time.Now())
@@ -354,8 +354,8 @@
 	})
 }
 
-// Time counts as steady while proofs come without a gap in which entries may lapse.
-func TestForHowLongTheSourceWasReachedAllTheTime(t *testing.T) {
+// The source's uptime runs while there is no gap between proofs in which entries may lapse.
+func TestSourceUptime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := newView(nil)
@@ -374,7 +374,7 @@
 	})
 }
 
-func TestEntriesThatVanishWhileTheSourceAnswersAreGone(t *testing.T) {
+func TestRemovalWhileSourceRespondsTakesEffectAtOnce(t *testing.T) {
 	is := is.New(t)
 	var list []Upstream
 	v := newView(following(&list))
@@ -384,8 +384,9 @@
 	is.Equal(ids(list), []string{"b"})
 }
 
-// The log says of each change which upstreams it concerns, and how old the list was.
-func TestTheLogNamesWhatChanged(t *testing.T) {
+// For each change the log names the upstreams that it concerns. The list's age counts from the last
+// read that showed it to be complete.
+func TestLogNamesChangedUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var log strings.Builder
@@ -393,7 +394,7 @@
 		v.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
 		<-time.After(2 * time.Second)
 		v.ProveCurrent(2, time.Now())
-		v.ProveCurrent(3, time.Now().Add(time.Second)) // the list may lack what came at 3
+		v.ProveCurrent(3, time.Now().Add(time.Second)) // the list may lack a change at 3
 		<-time.After(time.Second)
 		age, known := v.ListAge()
 		is.True(known)
@@ -408,71 +409,70 @@
 	})
 }
 
-// outage lets the source be away for long enough for entries to lapse.
+// outage makes the source unreachable for long enough for entries to lapse.
 func outage(v *View) {
 	v.SourceUnreachable("list", errors.New("down"))
 	<-time.After(3 * time.Second)
 	v.SourceReached()
 }
 
-// handOver gives one instance's list to another, as when it asks for it.
-func handOver(from, to *View) {
+// transfer merges one instance's list into another's, as after a request for it.
+func transfer(from, to *View) {
 	to.MergeUpstreams(from.List(), "p")
 }
 
-// Upstreams that had left went on getting requests from instances that learn the list from
-// others: it had changed at the others under the version that it had before, or was handed
-// over with what was missing from it as if it were there. Each case ends with what both must
-// list after the peer has asked again.
-func TestAPeerLearnsEveryContentOfAList(t *testing.T) {
+// Upstreams that have left must not get further requests from instances that receive the list from
+// peers. They would if a list changed under its previous version, or if missing upstreams were sent as
+// listed. Each case ends with what both must list after the peer has requested the list again.
+func TestPeerReceivesEveryContentOfList(t *testing.T) {
 	for name, c := range map[string]struct {
-		play func(reads, learns *View)
+		run  func(reader, receiver *View)
 		want []string
 	}{
-		"read anew without an upstream that wasn't the newest": {func(reads, learns *View) {
-			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3}}, 3, time.Now())
-			handOver(reads, learns)
-			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "c", Revision: 3}}, 5, time.Now())
+		"read again without an upstream that wasn't the newest": {func(reader, receiver *View) {
+			reader.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}, {ID: "c", Revision: 3}}, 3, time.Now())
+			transfer(reader, receiver)
+			reader.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "c", Revision: 3}}, 5, time.Now())
 		}, []string{"a", "c"}},
-		"a change older than the newest entry of a later page": {func(reads, learns *View) {
-			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "z", Revision: 9}}, 5, time.Now())
-			handOver(reads, learns)
-			reads.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "a", Revision: 7}}, {Upstream: Upstream{ID: "z", Revision: 9}}}, 9, time.Now())
+		"a change older than the newest entry of a later page": {func(reader, receiver *View) {
+			reader.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "z", Revision: 9}}, 5, time.Now())
+			transfer(reader, receiver)
+			reader.ApplyChanges([]Change{{Removed: true, Upstream: Upstream{ID: "a", Revision: 7}}, {Upstream: Upstream{ID: "z", Revision: 9}}}, 9, time.Now())
 		}, []string{"z"}},
-		"missing after an outage, handed over, and given up": {func(reads, learns *View) {
-			reads.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
-			outage(reads)
-			reads.SetUpstreams([]Upstream{{ID: "b", Revision: 2}, {ID: "c", Revision: 4}}, 5, time.Now())
-			handOver(reads, learns)
+		"missing after an outage, transferred, and dropped": {func(reader, receiver *View) {
+			reader.SetUpstreams([]Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}, 2, time.Now())
+			outage(reader)
+			reader.SetUpstreams([]Upstream{{ID: "b", Revision: 2}, {ID: "c", Revision: 4}}, 5, time.Now())
+			transfer(reader, receiver)
 			<-time.After(3 * time.Second)
 		}, []string{"b", "c"}},
-		"given up here, and missing for the time being there": {func(reads, learns *View) {
+		"removed here, and missing for the time being there": {func(reader, receiver *View) {
 			list := []Upstream{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}
-			reads.SetUpstreams(list, 2, time.Now())
-			learns.SetUpstreams(list, 2, time.Now())
-			outage(reads)
-			reads.SetUpstreams(list[1:], 4, time.Now())
-			learns.SetUpstreams(list[1:], 4, time.Now()) // no outage for it
-			reads.ApplyChanges([]Change{{Upstream: Upstream{ID: "c", Revision: 6}}}, 6, time.Now())
-			handOver(reads, learns)
+			reader.SetUpstreams(list, 2, time.Now())
+			receiver.SetUpstreams(list, 2, time.Now())
+			outage(reader)
+			reader.SetUpstreams(list[1:], 4, time.Now())
+			receiver.SetUpstreams(list[1:], 4, time.Now()) // which had no outage
+			reader.ApplyChanges([]Change{{Upstream: Upstream{ID: "c", Revision: 6}}}, 6, time.Now())
+			transfer(reader, receiver)
 			<-time.After(3 * time.Second)
 		}, []string{"b", "c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				reads, learns := inTouch(nil), inTouch(nil)
-				c.play(reads, learns)
-				handOver(reads, learns)
+				reader, receiver := newReachedView(nil), newReachedView(nil)
+				c.run(reader, receiver)
+				transfer(reader, receiver)
 				synctest.Wait()
-				is.Equal(ids(reads.List().Upstreams), c.want)
-				is.Equal(ids(learns.List().Upstreams), c.want)
+				is.Equal(ids(reader.List().Upstreams), c.want)
+				is.Equal(ids(receiver.List().Upstreams), c.want)
 			})
 		})
 	}
 }
 
-func TestOlderNewsOfAnUpstreamChangesNothing(t *testing.T) {
+func TestOlderEntriesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	var list []Upstream
 	v := newView(following(&list))
@@ -480,7 +480,7 @@
 	v.MergeUpstreams(List{Version: 8, Upstreams: []Upstream{{ID: "a", Revision: 5, Leaving: true}}}, "p")
 	v.ApplyChanges([]Change{
 		{Upstream: Upstream{ID: "a", Revision: 4}},
-		{Upstream: Upstream{ID: "b", Revision: 6}}, // gone by 8
+		{Upstream: Upstream{ID: "b", Revision: 6}}, // removed by 8
 	}, 6, time.Now())
 	is.Equal(ids(list), []string{"a"})
 	is.True(list[0].Leaving)
