--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,13 +1,15 @@
-// Package membership knows which instances a fleet has, which of them are within reach, and
-// with which of them one instance keeps links. It needs no network: the peer package hands it
-// what links show and what peers tell, and carries out what it wants.
+// Package membership tracks which instances a fleet has, which of them are reachable, and with which
+// of them one instance keeps links. It does no network I/O: the peer package reports the state of
+// links and the updates received from peers to it, and opens the links that it asks for.
 //
-// A few instances of each availability zone, the strongest, are its hubs. Everybody works out
-// alone who they are. All instances of a zone link to its hubs, and the hubs of all zones to
-// each other, so an instance has a few links and a hub about as many as its zone has
-// instances. Hubs vouch for the instances that are linked to them: to the other hubs, and by
-// way of these, two steps in all, to everybody. An instance is within reach as long as
-// anybody heard from vouches for it. What a peer has told counts while its link lives, so news
-// needs no age of its own: when a zone is cut off, the links between hubs end and all that
-// came by them goes with them.
+// The strongest few instances of each availability zone are its hubs. Each instance computes them on
+// its own from the members it knows. All instances of a zone link to its hubs, and the hubs of all
+// zones link to each other. So an instance has a few links, and a hub about as many as its zone has
+// instances.
+//
+// Hubs attest the instances that are linked to them: to the other hubs, and through these, two steps
+// in all, to every instance. An instance is reachable while any peer from which updates are received
+// attests it. What a peer has sent counts while the link to it is up, so records need no age of their
+// own: when a zone is partitioned, the links between hubs end, and everything received through them
+// is dropped.
 package membership
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// large is the size of the largest fleets; with the race detector 300 take some seconds a test.
+// large is the size of the largest fleets; with the race detector, a test of 300 takes some seconds.
 var large = flag.Int("membership-large", 100, "instances of the largest simulated fleets")
 
-// forFleets runs a test with fleets that have found each other.
+// forFleets runs a test with several fleets that have converged.
 func forFleets(t *testing.T, f func(t *testing.T, s *simulated, seeds []string)) {
 	for _, c := range []struct {
 		instances int
@@ -30,9 +30,9 @@
 	}
 }
 
-// All that start at once know each other within little more than a second, by three seeds
-// of which one is down and none tells a whole list.
-func TestAFleetThatStartsAtOnceFindsItself(t *testing.T) {
+// Instances that all start at once know each other within little more than a second, through three
+// seeds of which one is down and none sends a complete list.
+func TestFleetStartedAtOnceConverges(t *testing.T) {
 	for _, n := range []int{1, 2, 7, 30, *large} {
 		s, seeds := startFleet(7, n)
 		if n >= 30 {
@@ -42,35 +42,35 @@
 	}
 }
 
-// Links don't grow with the fleet but at the hubs, which have those of their zone and the
-// hubs of the others.
-func TestLinksAreFew(t *testing.T) {
+// The number of links grows with the fleet at the hubs only, which link to the instances of their zone
+// and to the hubs of the others.
+func TestLinkCountIsBounded(t *testing.T) {
 	forFleets(t, func(t *testing.T, s *simulated, _ []string) {
 		for address, i := range s.instances {
 			kept := 0
 			for other := range i.links {
-				wanted := slices.Contains(i.plan.WantedLinks(s.now), other) || slices.Contains(s.instances[other].plan.WantedLinks(s.now), address)
+				wanted := slices.Contains(i.overlay.WantedLinks(s.now), other) || slices.Contains(s.instances[other].overlay.WantedLinks(s.now), address)
 				if wanted {
 					kept++
 				}
 			}
-			most := HubsPerZone
-			if i.plan.IsHub(s.now) {
-				most = len(s.instances)/6 + 1 + 6*HubsPerZone
+			limit := HubsPerZone
+			if i.overlay.IsHub(s.now) {
+				limit = len(s.instances)/6 + 1 + 6*HubsPerZone
 			}
-			if kept > most {
+			if kept > limit {
 				t.Fatalf("%s keeps %d links", address, kept)
 			}
 		}
 	})
 }
 
-// All agree on the hubs of each zone.
-func TestAllAgreeOnHubs(t *testing.T) {
+// All instances compute the same hubs of each zone.
+func TestInstancesAgreeOnHubs(t *testing.T) {
 	forFleets(t, func(t *testing.T, s *simulated, _ []string) {
 		want := map[string][]string{}
 		for _, i := range s.instances {
-			for zone, hubs := range i.plan.allHubs(s.now) {
+			for zone, hubs := range i.overlay.allHubs(s.now) {
 				if want[zone] == nil {
 					want[zone] = hubs
 				}
@@ -82,91 +82,90 @@
 	})
 }
 
-// One that is lost is out of reach of all, and one that comes back under its address as
-// another process is known as that.
-func TestAnInstanceIsLostAndComesBack(t *testing.T) {
+// A lost instance becomes unreachable for all others. A new process at its address is recognised as
+// another incarnation.
+func TestLostInstanceReturnsAsNewProcess(t *testing.T) {
 	forFleets(t, func(t *testing.T, s *simulated, seeds []string) {
-		for _, address := range []string{addressOf(5), addressOf(1), addressOf(20)} { // a hub, a seed, any
+		for _, address := range []string{addressOf(5), addressOf(1), addressOf(20)} { // a hub, a seed, any other
 			i := s.instances[address].self
 			s.stop(address)
 			s.converge(t, 4)
 			s.settle(time.Second)
 			s.start(address, i.Zone, i.Cores, seeds)
 			s.converge(t, 8)
-			s.settle(bootstrapPeriod) // until then it counts those in reach that it was introduced to
+			s.settle(bootstrapPeriod) // until then it counts all instances of the Bootstrap update as reachable
 		}
 	})
 }
 
-// All hubs of all zones are lost at once: the next ones are known before. Without power
-// their links go silent, which is noticed after 2 s.
-func TestAllHubsAreLostAtOnce(t *testing.T) {
+// All hubs of all zones are lost at once; the others compute the next hubs from what they know. After a
+// power failure the links go silent, which is detected after 2 s.
+func TestFleetConvergesAfterLossOfAllHubs(t *testing.T) {
 	for name, lose := range map[string]struct {
-		f    func(*simulated, string)
-		most int
+		f     func(*simulated, string)
+		limit int
 	}{
 		"killed":        {(*simulated).stop, 18},
-		"without power": {(*simulated).darken, silentRounds + 25},
+		"without power": {(*simulated).powerOff, silentRounds + 25},
 	} {
 		t.Run(name, func(t *testing.T) {
 			forFleets(t, func(t *testing.T, s *simulated, _ []string) {
 				hubs := 0
 				for _, address := range slices.Sorted(maps.Keys(s.instances)) {
-					if s.instances[address].plan.IsHub(s.now) {
+					if s.instances[address].overlay.IsHub(s.now) {
 						hubs++
-						s.in(1, func() { lose.f(s, address) })
+						s.after(1, func() { lose.f(s, address) })
 					}
 				}
 				is.New(t).Equal(hubs, 6*HubsPerZone)
-				t.Logf("%d rounds", s.converge(t, lose.most))
+				t.Logf("%d rounds", s.converge(t, lose.limit))
 			})
 		})
 	}
 }
 
-// A zone that is cut off knows it, and so do the others; it is back within a few rounds
-// after it is healed, with what changed meanwhile.
-func TestAZoneIsCutOffAndHealed(t *testing.T) {
+// When a zone is partitioned, both sides see each other as unreachable. A few rounds after the
+// partition ends, both know all instances again, including those that changed meanwhile.
+func TestFleetConvergesAfterZonePartition(t *testing.T) {
 	forFleets(t, func(t *testing.T, s *simulated, seeds []string) {
-		s.cutZone("zone-2", true)
+		s.setPartitioned("zone-2", true)
 		s.converge(t, 4)
 		s.settle(5 * time.Second)
-		lost := s.instances[addressOf(26)].self // of the zone
+		lost := s.instances[addressOf(26)].self // in the zone
 		s.stop(addressOf(26))
-		s.stop(addressOf(6)) // of another one
+		s.stop(addressOf(6)) // in another zone
 		s.settle(time.Second)
 		s.start(addressOf(26), lost.Zone, lost.Cores, seeds)
 		s.settle(10 * time.Second)
-		s.cutZone("zone-2", false)
+		s.setPartitioned("zone-2", false)
 		t.Logf("%d rounds", s.converge(t, 30))
 	})
 }
 
-// Two thirds are lost at once, seeds and hubs among them; those that are left have each
-// other.
-func TestAShareIsLostAtOnce(t *testing.T) {
+// Two thirds of the instances are lost at once, including seeds and hubs; the others find each other.
+func TestFleetConvergesAfterLossOfTwoThirds(t *testing.T) {
 	for name, lose := range map[string]struct {
-		f    func(*simulated, string)
-		most int
+		f     func(*simulated, string)
+		limit int
 	}{
 		"killed":        {(*simulated).stop, 25},
-		"without power": {(*simulated).darken, silentRounds + 50},
+		"without power": {(*simulated).powerOff, silentRounds + 50},
 	} {
 		t.Run(name, func(t *testing.T) {
 			forFleets(t, func(t *testing.T, s *simulated, _ []string) {
 				for _, address := range slices.Sorted(maps.Keys(s.instances)) {
-					if s.draw.IntN(3) > 0 {
+					if s.random.IntN(3) > 0 {
 						lose.f(s, address)
 					}
 				}
-				t.Logf("%d rounds", s.converge(t, lose.most))
+				t.Logf("%d rounds", s.converge(t, lose.limit))
 			})
 		})
 	}
 }
 
-// Three quarters of the fleet's size are added within a second.
-func TestInstancesJoinInABurst(t *testing.T) {
+// Within a second, three quarters as many instances as the fleet has are added.
+func TestFleetConvergesAfterBurstOfStarts(t *testing.T) {
 	forFleets(t, func(t *testing.T, s *simulated, seeds []string) {
 		n := len(s.instances)
 		for k := range n * 3 / 4 {
@@ -179,8 +178,8 @@
 	})
 }
 
-// Those that have gone for good are forgotten everywhere.
-func TestThoseThatLeftAreForgotten(t *testing.T) {
+// Instances that don't come back are forgotten by all others.
+func TestLostInstancesAreForgotten(t *testing.T) {
 	s, _ := startFleet(3, 60)
 	s.converge(t, 12)
 	for k := 30; k < 60; k++ {
@@ -189,39 +188,39 @@
 	s.converge(t, 25)
 	s.settle(forgetAfter + 2*time.Second)
 	for address, i := range s.instances {
-		if known := i.plan.KnownCount(); known != 29 {
+		if known := i.overlay.KnownCount(); known != 29 {
 			t.Fatalf("%s knows %d", address, known)
 		}
 	}
 }
 
-// A quiet fleet tells nothing.
-func TestAQuietFleetTellsNothing(t *testing.T) {
+// Without changes, no records are sent.
+func TestUnchangedFleetSendsNoRecords(t *testing.T) {
 	forFleets(t, func(t *testing.T, s *simulated, _ []string) {
 		for range 20 {
 			s.round()
-			is.New(t).Equal(s.told, 0)
+			is.New(t).Equal(s.sent, 0)
 		}
 	})
 }
 
-// News of a process that is gone comes by another path, later than that of the next one.
-func TestAnOldProcessDoesNotComeBack(t *testing.T) {
+// A record of an ended process arrives by another path, later than that of the process after it.
+func TestDelayedRecordDoesNotRestoreOldProcess(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table := NewTable(Member{Address: "a", Zone: "z"})
 	old := Record{Address: "b", Zone: "z", Incarnation: 1, Age: time.Minute}
 	table.Merge(now, "h1", &Update{Kind: Indirect, Full: true, Records: []Record{old}})
 	table.Merge(now, "h2", &Update{Kind: Indirect, Full: true, Records: []Record{{Address: "b", Zone: "z", Incarnation: 2, Age: time.Second}}})
-	old.Age = time.Millisecond // it was delayed
+	old.Age = time.Millisecond // the record was delayed
 	table.Merge(now, "h3", &Update{Kind: Indirect, Full: true, Records: []Record{old}})
 	m, _ := table.Member("b")
 	is.Equal(m.Incarnation, uint64(2))
-	table.LinkDown(now, "h2") // the others vouch for the old one alone
+	table.LinkDown(now, "h2") // the other sources attest only the old process
 	is.True(!table.Reachable(now, "b"))
 	table.LinkUp(now, Member{Address: "b", Zone: "z", Incarnation: 1, Started: now.Add(-time.Minute)})
 	m, _ = table.Member("b")
-	is.Equal(m.Incarnation, uint64(1)) // a link is proof, whatever was told
+	is.Equal(m.Incarnation, uint64(1)) // a link is proof, whatever the records say
 }
 
 func BenchmarkRound(b *testing.B) {
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// isHubCandidate tells whether a member may be taken for a hub.
+// isHubCandidate reports whether a member may be considered as a hub.
 func (t *Table) isHubCandidate(now time.Time, e *entry) bool {
-	lately := e.lastAliveAt.After(e.linkFailedAt) && now.Sub(e.lastAliveAt) < candidatePeriod
-	return !e.Draining && (lately || t.isReachable(now, e))
+	recently := e.lastAliveAt.After(e.linkFailedAt) && now.Sub(e.lastAliveAt) < candidatePeriod
+	return !e.Draining && (recently || t.isReachable(now, e))
 }
 
-// candidates are the members of a zone from which its hubs come: those within reach, those
-// that lately were, and all.
+// candidates are the members of a zone from which its hubs are taken: those that are reachable,
+// those that recently were, and all.
 type candidates struct{ reachable, recent, known ranking }
 
-// candidates returns those of each zone, so many of each at most.
-func (t *Table) candidates(now time.Time, most int) map[string]*candidates {
+// candidates returns the strongest candidates of each zone, at most limit in each ranking.
+func (t *Table) candidates(now time.Time, limit int) map[string]*candidates {
 	zones := map[string]*candidates{t.self.Zone: {}}
 	if !t.self.Draining {
-		zones[t.self.Zone].reachable.add(&t.self, most)
+		zones[t.self.Zone].reachable.add(&t.self, limit)
 	}
 	for _, e := range t.members {
 		if e.Zone == "" {
@@ -33,32 +33,32 @@
 			c = &candidates{}
 			zones[e.Zone] = c
 		}
-		c.known.add(&e.Member, most)
+		c.known.add(&e.Member, limit)
 		switch {
 		case e.Draining:
 		case t.isReachable(now, e):
-			c.reachable.add(&e.Member, most)
+			c.reachable.add(&e.Member, limit)
 		case t.isHubCandidate(now, e):
-			c.recent.add(&e.Member, most)
+			c.recent.add(&e.Member, limit)
 		}
 	}
 	return zones
 }
 
-// strongest returns the strongest of them: of those that are or lately were within reach, and, where
-// there is none, the strongest that are known, to be tried.
-func (c *candidates) strongest(most int) []string {
+// strongest returns the addresses of the strongest candidates that are or recently were reachable, or
+// of the strongest known members where there is none, so that links to them are tried.
+func (c *candidates) strongest(limit int) []string {
 	if len(c.reachable)+len(c.recent) == 0 {
-		return c.known.addresses()[:min(len(c.known), most)]
+		return c.known.addresses()[:min(len(c.known), limit)]
 	}
 	for _, m := range c.recent {
-		c.reachable.add(m.Member, most)
+		c.reachable.add(m.Member, limit)
 	}
-	return c.reachable.addresses()[:min(len(c.reachable), most)]
+	return c.reachable.addresses()[:min(len(c.reachable), limit)]
 }
 
-// ranking is the strongest of some members in order: those with most processor time, and
-// among equals an order that has nothing to do with which of them are seeds.
+// ranking holds the strongest of some members in order: by processor time, and where that is equal by
+// a hash of the address, which is independent of which members are seeds.
 type ranking []ranked
 
 type ranked struct {
@@ -72,15 +72,15 @@
 	return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.hash, b.hash))
 }
 
-// add adds a member if it is among the first.
-func (r *ranking) add(m *Member, most int) {
+// add adds a member if it ranks among the first limit members.
+func (r *ranking) add(m *Member, limit int) {
 	new := rankedOf(m)
 	at, _ := slices.BinarySearchFunc(*r, new, compareRanked)
-	if at >= most {
+	if at >= limit {
 		return
 	}
 	*r = slices.Insert(*r, at, new)
-	*r = (*r)[:min(len(*r), most)]
+	*r = (*r)[:min(len(*r), limit)]
 }
 
 func (r ranking) addresses() []string {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -11,17 +11,17 @@
 	Address string
 	// Zone is its availability zone.
 	Zone string
-	// Incarnation names its process.
+	// Incarnation identifies its process.
 	Incarnation uint64
-	// Cores is the processor time that it has, in cores; 0 is unknown.
+	// Cores is the processor time available to it, in cores; 0 is unknown.
 	Cores float64
 	// Started is when its process started, by this instance's clock.
 	Started time.Time
-	// Draining instances take no new work.
+	// Draining instances accept no new requests.
 	Draining bool
 }
 
-// Record is what one instance tells another of a member.
+// Record is what one instance sends another about a member.
 type Record struct {
 	Address     string  `cbor:"1,keyasint"`
 	Zone        string  `cbor:"2,keyasint,omitempty"`
@@ -30,63 +30,64 @@
 	// Age is the time since its process started.
 	Age      time.Duration `cbor:"5,keyasint,omitempty"`
 	Draining bool          `cbor:"6,keyasint,omitempty"`
-	// Removed takes back what was told of it before.
+	// Removed withdraws the previous record of the address.
 	Removed bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Kind of a telling says what the teller knows its members by, which decides whether the
-// listener may pass it on.
+// Kind of an update says how the sender knows the members in it. It decides whether the receiver may
+// pass them on.
 type Kind uint8
 
 // The kinds.
 const (
-	// None takes back what was told before.
+	// None withdraws all that was sent before.
 	None Kind = iota
-	// Direct members are linked to the teller, a hub. Other hubs pass them on.
+	// Direct members are linked to the sender, a hub. Other hubs pass them on.
 	Direct
-	// Indirect members are linked to the teller or to a hub that has told it. They aren't
-	// passed on: what goes in circles could never be taken back.
+	// Indirect members are linked to the sender or to a hub that has sent it updates. They aren't
+	// passed on: records that circulate could never be withdrawn.
 	Indirect
-	// Bootstrap members are those that somebody vouches for to the teller. An instance that
-	// starts finds the hubs among them.
+	// Bootstrap members are those that the sender knows to be attested. An instance that starts finds
+	// the hubs among them.
 	Bootstrap
 )
 
-// Update is what one instance tells another at a time. A Full one replaces all before it.
+// Update is one message about members from one instance to another. A Full one replaces all updates
+// before it.
 type Update struct {
 	Kind    Kind     `cbor:"1,keyasint"`
 	Full    bool     `cbor:"2,keyasint,omitempty"`
 	Records []Record `cbor:"3,keyasint,omitempty"`
 }
 
-// maxPastIncarnations is how many former incarnations of an address are remembered: news of them may
-// be under way for as long as a process stands still.
+// maxPastIncarnations is how many previous incarnations of an address are remembered: records of them
+// may be delayed for as long as a process stands still.
 const maxPastIncarnations = 4
 
 // entry is what a table knows of one member.
 type entry struct {
 	Member
-	pastIncarnations []uint64 // incarnations that were there before
-	// linked tells whether a link to it is up, hubLinked and alive whether it is vouched for as
-	// Reached tells and by anybody.
+	pastIncarnations []uint64
+	// linked: a link to it is up. hubLinked: it is linked to this instance, or to a hub that attests
+	// it in a Direct update. alive: this instance or any peer attests it.
 	linked, hubLinked, alive bool
-	everAlive                bool      // anybody has vouched for its process before
-	bootstrappedAt           time.Time // when it was introduced last
+	everAlive                bool      // its process has been attested before
+	bootstrappedAt           time.Time // when a Bootstrap update last contained it
 	lastAliveAt              time.Time
-	linkFailedAt             time.Time // when a link to it ended or couldn't be made
+	linkFailedAt             time.Time // when a link to it last ended or couldn't be made
 
-	published publishedState // what is told to others
-	changedAt uint64         // the table's change at which that changed last
+	published publishedState // what updates to peers contain
+	changedAt uint64         // the table's change count when published last changed
 }
 
-// publishedState is what of a member is told to others.
+// publishedState is the state of a member that updates to peers depend on.
 type publishedState struct {
 	Member
 	linked, hubLinked, alive bool
 }
 
-// update takes what is told of the member, and tells whether it is news of its process of
-// today. A link to a process is proof of it; a telling may be older than what is known.
+// update merges received data about the member. It reports whether the data concerns the member's
+// current process. A link to a process is proof of it; an update may be older than what is known.
 func (e *entry) update(m Member, proof bool) bool {
 	switch {
 	case m.Incarnation == e.Incarnation:
@@ -98,19 +99,19 @@
 		return false
 	}
 	if m.Incarnation == e.Incarnation && !e.Started.IsZero() {
-		m.Started = e.Started // the first word is the least delayed
+		m.Started = e.Started // the first record is the least delayed
 	}
 	e.Member = m
 	return true
 }
 
-func (e *entry) record(now time.Time, gone bool) Record {
-	if gone {
+func (e *entry) record(now time.Time, removed bool) Record {
+	if removed {
 		return Record{Address: e.Address, Removed: true}
 	}
 	return Record{Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation, Cores: e.Cores, Age: now.Sub(e.Started), Draining: e.Draining}
 }
 
-func (n *Record) member(now time.Time) Member {
-	return Member{Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Cores: n.Cores, Started: now.Add(-n.Age), Draining: n.Draining}
+func (r *Record) member(now time.Time) Member {
+	return Member{Address: r.Address, Zone: r.Zone, Incarnation: r.Incarnation, Cores: r.Cores, Started: now.Add(-r.Age), Draining: r.Draining}
 }
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -7,68 +7,69 @@
 )
 
 const (
-	// startupPeriod is how long after its start an instance may know less than others: until
-	// then it is introduced by whoever it is linked to, and seeds link to each other.
+	// startupPeriod is how long after its start an instance may know fewer members than others:
+	// until then each instance that it links to sends it a Bootstrap update, and seeds link to each
+	// other.
 	startupPeriod = 5 * time.Second
-	// bootstrapRatio is how many times as many as a peer an instance must know for the peer to know
-	// far fewer: counts differ a little all the time while instances come and go, and an
-	// introduction to all of 300 is 18 KB (worked out, 60 bytes each).
+	// bootstrapRatio is how many times as many members as a peer an instance must know to send it a
+	// Bootstrap update: counts always differ a little while instances come and go, and a Bootstrap
+	// update of 300 members is 18 KB (60 bytes each).
 	bootstrapRatio = 2
-	// seedInterval is how long an instance waits for one seed before it tries the next one
-	// beside it: seeds may be stale, and all that start ask them.
+	// seedInterval is how long an instance waits for one seed before it tries the next one as well:
+	// seeds may be stale, and all starting instances connect to them.
 	seedInterval = 250 * time.Millisecond
-	// hubLinkDelay is how long after its start an instance links to hubs of other zones: in
-	// a fleet that starts all at once each takes itself for a hub until it was introduced.
+	// hubLinkDelay is how long after its start an instance links to hubs of other zones: in a fleet
+	// that starts all at once, each instance considers itself a hub until it has received a
+	// Bootstrap update.
 	hubLinkDelay = 300 * time.Millisecond
-	// dialDelay is how long the one of two hubs with the higher address leaves it to the other
-	// to make the link between them.
+	// dialDelay is how long the one of two hubs with the higher address waits for the other to make
+	// the link between them.
 	dialDelay = 500 * time.Millisecond
-	// maxLostTried is how many of the instances of a zone that nobody vouches for any more are
-	// tried at a time, beside the hubs: if most of a zone are lost, each that is left may be
-	// the hub that the others look for. Those that can't be linked to are tried once. With
-	// twelve, what is left of a simulated fleet of 300 after the loss of two thirds finds
-	// itself in 10 rounds in place of 40.
+	// maxLostTried is how many of the instances of a zone that are no longer attested are tried at a
+	// time, in addition to the hubs: if most of a zone are lost, each that is left may be the hub that
+	// the others look for. Those that can't be linked to are tried once. With twelve, the rest of a
+	// simulated fleet of 300 that has lost two thirds converges in 10 rounds instead of 40.
 	maxLostTried = 12
-	// widenInterval is how long an instance tries the hubs of a zone before it tries twice as
-	// many: when most of a zone are lost at once, those that are left must find each other
-	// among the addresses of the lost ones, which may not even refuse a connection.
+	// widenInterval is how long an instance tries the hubs of a zone before it tries twice as many
+	// instances: when most of a zone are lost at once, those that are left must find each other among
+	// the addresses of the lost ones, which may not even refuse a connection.
 	widenInterval = 200 * time.Millisecond
 	// maxWidenSteps bounds how often it does so: to 192 instances, more than a zone has.
 	maxWidenSteps = 6
-	// hubCachePeriod is how long hubs are remembered: candidates change with time, too.
+	// hubCachePeriod is how long computed hubs are reused: candidates also change with time.
 	hubCachePeriod = time.Second
 )
 
-// Overlay is a table with the plan that follows from it. It isn't safe for concurrent use.
+// Overlay is a Table with the links that an instance should keep. It isn't safe for concurrent use.
 type Overlay struct {
 	*Table
 	seeds   []string // in the order in which they are tried
 	started time.Time
 	random  *rand.Rand
 
-	hubs           map[string][]string // by zone
-	lost           map[string][]string // by zone, some that nobody vouches for any more
-	hubsChange     uint64              // the table's change at which they were worked out
-	hubsAt         time.Time
-	hubWantedSince map[string]time.Time // since when hubs that others may link to are wanted
-	zoneFound      map[string]bool      // by zone, whether a hub of it has ever told anything
-	zoneLostSince  map[string]time.Time // by zone, since when no hub of it has told anything
+	hubs           map[string][]string  // by zone
+	lost           map[string][]string  // by zone, the strongest instances that were lost recently
+	hubsChange     uint64               // the table's change count at which hubs and lost were computed
+	hubsAt         time.Time            // when they were computed
+	hubWantedSince map[string]time.Time // since when links to hubs of other zones are wanted, by address
+	zoneFound      map[string]bool      // by zone, whether a hub of it has ever sent updates
+	zoneLostSince  map[string]time.Time // by zone, since when no hub of it sends updates
 }
 
-// NewOverlay returns the plan of an instance that has just started. Draw is for what needn't
-// be the same everywhere.
-func NewOverlay(now time.Time, self Member, draw *rand.Rand) *Overlay {
-	return &Overlay{random: draw, Table: NewTable(self), started: now, hubWantedSince: map[string]time.Time{}, zoneFound: map[string]bool{}, zoneLostSince: map[string]time.Time{}}
+// NewOverlay returns the overlay of an instance that has just started. Random is used for choices that
+// may differ between instances.
+func NewOverlay(now time.Time, self Member, random *rand.Rand) *Overlay {
+	return &Overlay{random: random, Table: NewTable(self), started: now, hubWantedSince: map[string]time.Time{}, zoneFound: map[string]bool{}, zoneLostSince: map[string]time.Time{}}
 }
 
-// SetSeeds takes the addresses at which others are to be found. They are tried in an order
-// of this instance's own, so that those that start together don't ask the same one.
+// SetSeeds sets the addresses by which the fleet is found. They are tried in a random order, so that
+// instances that start together don't all connect to the same one.
 func (o *Overlay) SetSeeds(addresses []string) {
 	o.seeds = slices.Clone(addresses)
 	o.random.Shuffle(len(o.seeds), func(i, j int) { o.seeds[i], o.seeds[j] = o.seeds[j], o.seeds[i] })
 }
 
-// SeedCount is the number of seeds beside this instance itself.
+// SeedCount returns the number of seeds other than this instance.
 func (o *Overlay) SeedCount() (n int) {
 	for _, s := range o.seeds {
 		if s != o.self.Address {
@@ -78,8 +79,8 @@
 	return n
 }
 
-// KnownCount is the number of other instances that are known, seeds that weren't heard of among
-// them.
+// KnownCount returns the number of other instances that are known, including seeds that haven't been
+// seen yet.
 func (o *Overlay) KnownCount() int {
 	n := len(o.members)
 	for _, s := range o.seeds {
@@ -90,7 +91,7 @@
 	return n
 }
 
-// IsSeed tells whether others find the fleet by this instance.
+// IsSeed reports whether this instance is one of the seeds.
 func (o *Overlay) IsSeed() bool { return slices.Contains(o.seeds, o.self.Address) }
 
 // allHubs returns the hubs of each known zone.
@@ -107,17 +108,17 @@
 	return o.hubs
 }
 
-// IsHub tells whether this instance is a hub of its zone, as far as it knows.
+// IsHub reports whether this instance is a hub of its zone, by what it knows.
 func (o *Overlay) IsHub(now time.Time) bool { return o.isHub(now, o.self.Zone, o.self.Address) }
 
-// HubRank is this instance's place among the hubs of its zone, counted from 0; -1 where it
-// is none.
+// HubRank returns this instance's place among the hubs of its zone, counted from 0; -1 where it is no
+// hub.
 func (o *Overlay) HubRank(now time.Time) int {
 	return slices.Index(o.allHubs(now)[o.self.Zone], o.self.Address)
 }
 
-// RankInZone is how many of its zone within reach go before this instance in the order in which
-// hubs are chosen.
+// RankInZone returns how many reachable instances of its zone precede this instance in the order by
+// which hubs are taken.
 func (o *Overlay) RankInZone(now time.Time) int {
 	own := rankedOf(&o.self)
 	before := 0
@@ -133,7 +134,7 @@
 	return slices.Contains(o.allHubs(now)[zone], address)
 }
 
-// WantedLinks returns the addresses with which links are to be kept now.
+// WantedLinks returns the addresses with which this instance should keep links now, in order.
 func (o *Overlay) WantedLinks(now time.Time) []string {
 	out := append(o.wantedSeeds(now), o.linkTargets(now, o.self.Zone)...)
 	if o.IsHub(now) && now.Sub(o.started) >= hubLinkDelay {
@@ -144,9 +145,9 @@
 	return slices.DeleteFunc(out, func(address string) bool { return address == o.self.Address })
 }
 
-// linkTargets returns the instances of a zone with which links are to be kept: its hubs, some that
-// may be hubs if they are still there, and while no hub of the zone has told anything more
-// and more of these.
+// linkTargets returns the instances of a zone to link to: its hubs and some recently lost instances,
+// which may be hubs if they are still running. While no hub of the zone sends updates, their number
+// doubles every widenInterval.
 func (o *Overlay) linkTargets(now time.Time, zone string) []string {
 	if o.receivesFrom(zone) {
 		o.zoneFound[zone] = true
@@ -154,32 +155,32 @@
 		return o.hubsAndLost(now, zone)
 	}
 	if !o.zoneFound[zone] && now.Sub(o.started) < bootstrapPeriod {
-		return o.allHubs(now)[zone] // it has just started, as the hubs may have
+		return o.allHubs(now)[zone] // this instance has just started, and the hubs may have, too
 	}
 	since, known := o.zoneLostSince[zone]
 	if !known {
 		since = now
 		o.zoneLostSince[zone] = now
 	}
-	widened := min(int(now.Sub(since)/widenInterval), maxWidenSteps)
-	if widened == 0 {
+	steps := min(int(now.Sub(since)/widenInterval), maxWidenSteps)
+	if steps == 0 {
 		return o.hubsAndLost(now, zone)
 	}
-	most := HubsPerZone << widened
-	c := o.candidates(now, most)[zone]
+	limit := HubsPerZone << steps
+	c := o.candidates(now, limit)[zone]
 	if c == nil {
-		return nil // forgotten
+		return nil // all members of the zone were forgotten
 	}
-	return c.strongest(most)
+	return c.strongest(limit)
 }
 
-// hubsAndLost returns the hubs of a zone with some that were lost lately.
+// hubsAndLost returns the hubs of a zone and some instances of it that were lost recently.
 func (o *Overlay) hubsAndLost(now time.Time, zone string) []string {
 	hubs := o.allHubs(now)[zone]
 	return append(slices.Clone(hubs), o.lost[zone]...)
 }
 
-// receivesFrom tells whether a hub of a zone tells this instance of others.
+// receivesFrom reports whether a hub of a zone sends updates to this instance.
 func (o *Overlay) receivesFrom(zone string) bool {
 	for peer, s := range o.sources {
 		if e := o.members[peer]; e != nil && e.Zone == zone && s.kind != None && s.expires.IsZero() {
@@ -189,7 +190,7 @@
 	return false
 }
 
-// wantedHubs returns the hubs of other zones to which this one, a hub itself, makes links.
+// wantedHubs returns the hubs of other zones to which this instance, a hub itself, makes links.
 func (o *Overlay) wantedHubs(now time.Time) (out []string) {
 	since := map[string]time.Time{}
 	for zone := range o.allHubs(now) {
@@ -211,8 +212,8 @@
 	return out
 }
 
-// wantedSeeds returns the seeds to be linked to: all of the others by a seed that has just
-// started, and by others one after the other until a hub of the zone is linked to.
+// wantedSeeds returns the seeds to link to. A seed that has just started links to all other seeds.
+// Other instances try one after the other until they have joined the fleet.
 func (o *Overlay) wantedSeeds(now time.Time) []string {
 	age := now.Sub(o.started)
 	if o.IsSeed() && age < startupPeriod {
@@ -224,8 +225,8 @@
 	return slices.Clone(o.seeds[:min(len(o.seeds), 1+int(age/seedInterval))])
 }
 
-// hasJoined tells whether the instance has found the fleet: it is linked to a hub of its zone,
-// or is a hub itself and linked to anybody.
+// hasJoined reports whether the instance has found the fleet: it is linked to a hub of its zone, or
+// is a hub itself and linked to any instance.
 func (o *Overlay) hasJoined(now time.Time) bool {
 	hub := o.IsHub(now)
 	for _, e := range o.members {
@@ -236,9 +237,9 @@
 	return false
 }
 
-// ReconnectCandidate returns an address out of reach to be tried, so that parts of a fleet that have lost
-// each other find together again. Hubs try one at a time; who has lost all others of its zone
-// takes itself for a hub.
+// ReconnectCandidate returns a random unreachable address to be tried, so that the parts of a fleet
+// find each other again after a partition. Only hubs try, one address at a time; an instance that has
+// lost all others of its zone is a hub by its own computation.
 func (o *Overlay) ReconnectCandidate(now time.Time) (address string, some bool) {
 	if !o.IsHub(now) {
 		return "", false
@@ -257,11 +258,11 @@
 	if len(out) == 0 {
 		return "", false
 	}
-	slices.Sort(out) // the draw alone decides
+	slices.Sort(out) // so that the result depends on the random source only
 	return out[o.random.IntN(len(out))], true
 }
 
-// KindFor returns what kind of telling a linked peer gets all the time.
+// KindFor returns the kind of updates that a linked peer gets continuously.
 func (o *Overlay) KindFor(now time.Time, peer string) Kind {
 	e := o.members[peer]
 	if e == nil {
@@ -280,9 +281,9 @@
 	}
 }
 
-// SendsBootstrap tells whether a peer that has dialled this instance is introduced to others
-// beside: it isn't told of them anyway, and has just started or knows far fewer by its own
-// word. Whoever comes to an instance may know nobody else; a seed needn't know that it is one.
+// SendsBootstrap reports whether a peer that has dialled this instance gets a Bootstrap update: it
+// gets no Indirect updates, and has just started or reports that it knows far fewer instances. Any
+// instance may be the only one that the peer knows; a seed needn't know that it is one.
 func (o *Overlay) SendsBootstrap(now time.Time, peer string, known int) bool {
 	e := o.members[peer]
 	if e == nil || o.KindFor(now, peer) == Indirect {
--- a/internal/membership/simulated_test.go
+++ b/internal/membership/simulated_test.go
@@ -9,62 +9,63 @@
 	"time"
 )
 
-// step is the time between two rounds: a tenth of a second, as the peer package tends links.
+// step is the time between two rounds, the interval at which the peer package maintains links.
 const step = 100 * time.Millisecond
 
-// simulated is a fleet in which links come up within a round and what is told arrives in the
-// next one.
+// simulated is a simulated fleet in which links come up within a round and updates arrive in the next
+// one.
 type simulated struct {
-	now       time.Time
-	instances map[string]*instance
-	order     []string // in which they act, for repeatable runs
-	cut       map[string]bool
-	dark      map[string]bool  // without power: they don't even refuse a link
-	later     map[int][]func() // what happens in a later round
-	rounds    int
-	draw      *rand.Rand
-	told      int // members that were told in the last round
+	now         time.Time
+	instances   map[string]*instance
+	order       []string         // in which they act, for repeatable runs
+	partitioned map[string]bool  // by zone
+	poweredOff  map[string]bool  // addresses that don't even refuse a link
+	scheduled   map[int][]func() // by the round in which they are called
+	rounds      int
+	random      *rand.Rand
+	sent        int // records sent in the last round
 }
 
 type instance struct {
-	self    Member
-	plan    *Overlay
-	links   map[string]bool
-	dialled map[string]bool // the links that this side dialled
-	upTo    map[string]toldTo
-	inbox   []message
-	frozen  bool
+	self     Member
+	overlay  *Overlay
+	links    map[string]bool
+	dialled  map[string]bool // links that this side dialled
+	sentUpTo map[string]sentState
+	inbox    []message
+	frozen   bool
 }
 
-type toldTo struct {
-	kind       Kind
-	change     uint64
-	introduced uint64
+// sentState is the change counts up to which updates were sent over a link.
+type sentState struct {
+	kind      Kind
+	change    uint64
+	bootstrap uint64
 }
 
 type message struct {
-	from    string
-	telling *Update
+	from   string
+	update *Update
 }
 
 func newSimulated(seed uint64) *simulated {
-	return &simulated{now: time.Unix(1000, 0), instances: map[string]*instance{}, cut: map[string]bool{}, dark: map[string]bool{}, later: map[int][]func(){}, draw: rand.New(rand.NewPCG(seed, 1))}
+	return &simulated{now: time.Unix(1000, 0), instances: map[string]*instance{}, partitioned: map[string]bool{}, poweredOff: map[string]bool{}, scheduled: map[int][]func(){}, random: rand.New(rand.NewPCG(seed, 1))}
 }
 
 func addressOf(n int) string { return fmt.Sprintf("10.%d.%d.%d:7000", n%6, n/250, n%250) }
 
-// start starts a process at an address; the incarnation is never one of before.
+// start starts a process at an address, with a new incarnation.
 func (s *simulated) start(address, zone string, cores float64, seeds []string) {
-	m := Member{Address: address, Zone: zone, Incarnation: s.draw.Uint64() | 1, Cores: cores, Started: s.now}
-	i := &instance{self: m, plan: NewOverlay(s.now, m, rand.New(rand.NewPCG(s.draw.Uint64(), 2))), links: map[string]bool{}, dialled: map[string]bool{}, upTo: map[string]toldTo{}}
-	i.plan.SetSeeds(seeds)
+	m := Member{Address: address, Zone: zone, Incarnation: s.random.Uint64() | 1, Cores: cores, Started: s.now}
+	i := &instance{self: m, overlay: NewOverlay(s.now, m, rand.New(rand.NewPCG(s.random.Uint64(), 2))), links: map[string]bool{}, dialled: map[string]bool{}, sentUpTo: map[string]sentState{}}
+	i.overlay.SetSeeds(seeds)
 	if s.instances[address] == nil && !slices.Contains(s.order, address) {
 		s.order = append(s.order, address)
 	}
 	s.instances[address] = i
 }
 
-// startFleet starts n instances in six zones; one in sixteen is strong.
+// startFleet starts n instances in six zones; one in sixteen has more cores.
 func startFleet(seed uint64, n int) (*simulated, []string) {
 	s := newSimulated(seed)
 	seeds := []string{addressOf(0), addressOf(1), addressOf(2)}
@@ -83,26 +84,26 @@
 	s.endLinks(address)
 }
 
-// The rounds after which silence on a link and a dial without any answer are noticed.
+// The numbers of rounds after which a silent link and a dial without any response are detected.
 const (
 	silentRounds = 20
 	failedRounds = 3
 )
 
-// darken takes an instance's power.
-func (s *simulated) darken(address string) {
+// powerOff stops an instance without closing its links.
+func (s *simulated) powerOff(address string) {
 	delete(s.instances, address)
-	s.dark[address] = true
-	s.in(silentRounds, func() { s.endLinks(address) })
+	s.poweredOff[address] = true
+	s.after(silentRounds, func() { s.endLinks(address) })
 }
 
-// in lets something happen so many rounds later.
-func (s *simulated) in(rounds int, f func()) {
+// after schedules a function call a number of rounds later.
+func (s *simulated) after(rounds int, f func()) {
 	at := s.rounds + rounds
-	s.later[at] = append(s.later[at], f)
+	s.scheduled[at] = append(s.scheduled[at], f)
 }
 
-// endLinks ends all links of an address, which both sides notice.
+// endLinks ends all links of an address, which both sides detect.
 func (s *simulated) endLinks(address string) {
 	for _, other := range slices.Sorted(maps.Keys(s.instances)) {
 		if s.instances[other].links[address] {
@@ -116,15 +117,15 @@
 		if i := s.instances[side[0]]; i != nil && i.links[side[1]] {
 			delete(i.links, side[1])
 			delete(i.dialled, side[1])
-			delete(i.upTo, side[1])
-			i.plan.LinkDown(s.now, side[1])
+			delete(i.sentUpTo, side[1])
+			i.overlay.LinkDown(s.now, side[1])
 		}
 	}
 }
 
-// cutZone cuts a zone off, or heals it.
-func (s *simulated) cutZone(zone string, cut bool) {
-	s.cut[zone] = cut
+// setPartitioned sets whether a zone is partitioned from all others.
+func (s *simulated) setPartitioned(zone string, partitioned bool) {
+	s.partitioned[zone] = partitioned
 	for _, a := range slices.Sorted(maps.Keys(s.instances)) {
 		i := s.instances[a]
 		for _, b := range slices.Sorted(maps.Keys(i.links)) {
@@ -136,19 +137,19 @@
 }
 
 func (s *simulated) reaches(a, b *instance) bool {
-	return a.self.Zone == b.self.Zone || (!s.cut[a.self.Zone] && !s.cut[b.self.Zone])
+	return a.self.Zone == b.self.Zone || (!s.partitioned[a.self.Zone] && !s.partitioned[b.self.Zone])
 }
 
-// round lets each instance, in an order drawn anew, hear, link and tell once.
+// round makes each instance, in random order, receive, link and send once.
 func (s *simulated) round() {
 	s.now = s.now.Add(step)
 	s.rounds++
-	for _, f := range s.later[s.rounds] {
+	for _, f := range s.scheduled[s.rounds] {
 		f()
 	}
-	delete(s.later, s.rounds)
-	s.told = 0
-	s.draw.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+	delete(s.scheduled, s.rounds)
+	s.sent = 0
+	s.random.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 	for _, address := range s.order {
 		if i := s.instances[address]; i != nil && !i.frozen {
 			s.act(address, i)
@@ -160,20 +161,20 @@
 	inbox := i.inbox
 	i.inbox = nil
 	for _, m := range inbox {
-		if i.links[m.from] { // what a link that has ended brought is lost with it
-			i.plan.Merge(s.now, m.from, m.telling)
+		if i.links[m.from] { // messages over a link that has ended are lost
+			i.overlay.Merge(s.now, m.from, m.update)
 		}
 	}
-	i.plan.Tick(s.now)
-	want := i.plan.WantedLinks(s.now)
-	if probe, some := i.plan.ReconnectCandidate(s.now); some {
-		want = append(want, probe)
+	i.overlay.Tick(s.now)
+	want := i.overlay.WantedLinks(s.now)
+	if candidate, some := i.overlay.ReconnectCandidate(s.now); some {
+		want = append(want, candidate)
 	}
 	for _, other := range want {
 		s.dial(address, i, other)
 	}
 	for _, other := range slices.Sorted(maps.Keys(i.links)) {
-		s.tell(address, i, other)
+		s.send(address, i, other)
 	}
 }
 
@@ -183,93 +184,93 @@
 		return
 	}
 	switch {
-	case s.dark[other]:
-		s.in(failedRounds, func() { i.plan.LinkFailed(s.now, other) })
+	case s.poweredOff[other]:
+		s.after(failedRounds, func() { i.overlay.LinkFailed(s.now, other) })
 		return
 	case o == nil || !s.reaches(i, o):
-		i.plan.LinkFailed(s.now, other)
+		i.overlay.LinkFailed(s.now, other)
 		return
 	}
 	i.links[other], o.links[address] = true, true
 	i.dialled[other] = true
-	i.plan.LinkUp(s.now, o.self)
-	o.plan.LinkUp(s.now, i.self)
+	i.overlay.LinkUp(s.now, o.self)
+	o.overlay.LinkUp(s.now, i.self)
 }
 
-func (s *simulated) tell(address string, i *instance, other string) {
+func (s *simulated) send(address string, i *instance, other string) {
 	o := s.instances[other]
 	if o == nil {
-		return // it is without power
+		return // it is powered off
 	}
-	upTo := i.upTo[other]
+	sent := i.sentUpTo[other]
 	retract := false
-	if kind := i.plan.KindFor(s.now, other); kind != upTo.kind {
-		upTo.kind, upTo.change = kind, 0
+	if kind := i.overlay.KindFor(s.now, other); kind != sent.kind {
+		sent.kind, sent.change = kind, 0
 		retract = kind == None
 	}
 	send := func(kind Kind, since uint64) uint64 {
-		told, change := i.plan.UpdateSince(s.now, kind, since)
-		if len(told.Records) > 0 || told.Full {
-			o.inbox = append(o.inbox, message{address, told})
-			s.told += len(told.Records)
+		update, change := i.overlay.UpdateSince(s.now, kind, since)
+		if len(update.Records) > 0 || update.Full {
+			o.inbox = append(o.inbox, message{address, update})
+			s.sent += len(update.Records)
 		}
 		return change
 	}
-	if upTo.kind != None || retract {
-		upTo.change = send(upTo.kind, upTo.change)
+	if sent.kind != None || retract {
+		sent.change = send(sent.kind, sent.change)
 	}
-	if !i.dialled[other] && i.plan.SendsBootstrap(s.now, other, o.plan.KnownCount()) {
-		upTo.introduced = send(Bootstrap, upTo.introduced)
+	if !i.dialled[other] && i.overlay.SendsBootstrap(s.now, other, o.overlay.KnownCount()) {
+		sent.bootstrap = send(Bootstrap, sent.bootstrap)
 	}
-	i.upTo[other] = upTo
+	i.sentUpTo[other] = sent
 }
 
-// wrong returns one thing that an instance believes and that isn't so, "" if there is none:
-// it must hold within reach just those that it can reach, with their processes of today.
-func (s *simulated) wrong() string {
+// mismatch returns one wrong entry of an instance's table, "" if there is none: exactly the instances
+// that it can reach must be reachable in it, with their current incarnations.
+func (s *simulated) mismatch() string {
 	for _, address := range slices.Sorted(maps.Keys(s.instances)) {
 		i := s.instances[address]
-		inReach := 0
-		for _, m := range i.plan.Members(s.now) {
+		reachable := 0
+		for _, m := range i.overlay.Members(s.now) {
 			o := s.instances[m.Address]
-			there := o != nil && s.reaches(i, o)
-			if m.Reachable != there {
-				return fmt.Sprintf("%s: %s in reach %v, is there %v", address, m.Address, m.Reachable, there)
+			running := o != nil && s.reaches(i, o)
+			if m.Reachable != running {
+				return fmt.Sprintf("%s: %s reachable %v, want %v", address, m.Address, m.Reachable, running)
 			}
-			if there && m.Incarnation != o.self.Incarnation {
-				return fmt.Sprintf("%s holds an old process of %s", address, m.Address)
+			if running && m.Incarnation != o.self.Incarnation {
+				return fmt.Sprintf("%s has an old incarnation of %s", address, m.Address)
 			}
 			if m.Reachable {
-				inReach++
+				reachable++
 			}
 		}
-		owed := 0
+		expected := 0
 		for _, o := range s.instances {
 			if o != i && s.reaches(i, o) {
-				owed++
+				expected++
 			}
 		}
-		if inReach != owed {
-			return fmt.Sprintf("%s has %d in reach of %d", address, inReach, owed)
+		if reachable != expected {
+			return fmt.Sprintf("%s has %d reachable of %d", address, reachable, expected)
 		}
 	}
 	return ""
 }
 
-// converge plays rounds until all beliefs are right, and returns how many it took.
-func (s *simulated) converge(t *testing.T, most int) int {
+// converge runs rounds until all tables are right, and returns their number.
+func (s *simulated) converge(t *testing.T, limit int) int {
 	t.Helper()
-	for n := 1; n <= most; n++ {
+	for n := 1; n <= limit; n++ {
 		s.round()
-		if s.wrong() == "" {
+		if s.mismatch() == "" {
 			return n
 		}
 	}
-	t.Fatalf("not within %d rounds: %s", most, s.wrong())
+	t.Fatalf("not within %d rounds: %s", limit, s.mismatch())
 	return 0
 }
 
-// settle plays rounds for a time.
+// settle runs rounds for a duration.
 func (s *simulated) settle(d time.Duration) {
 	for range int(d / step) {
 		s.round()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -3,44 +3,44 @@
 import "time"
 
 const (
-	// HubsPerZone is how many hubs an availability zone has: one may be lost and one stand
-	// still while the third still vouches for the zone.
+	// HubsPerZone is the number of hubs of an availability zone: one may be lost and one stand still
+	// while the third still attests the zone's instances.
 	HubsPerZone = 3
-	// bootstrapPeriod is how long an instance that was introduced counts as within reach
-	// before anybody vouches for it: links to hubs are up within some 0.1 s, in a fleet that
-	// starts all at once within a second.
+	// bootstrapPeriod is how long an instance from a Bootstrap update counts as reachable before any
+	// peer attests it: links to hubs are up within about 0.1 s, in a fleet that starts all at once
+	// within a second.
 	bootstrapPeriod = 2 * time.Second
-	// candidatePeriod is how long an instance that nobody vouches for any more may still be
-	// taken for a hub, unless a link to it has failed. When all hubs of a zone are lost at
-	// once, its instances choose the next ones out of what the lost ones told last.
+	// candidatePeriod is how long an instance that is no longer attested may still become a hub,
+	// unless a link to it has failed. When all hubs of a zone are lost at once, its instances compute
+	// the next ones from the last updates of the lost ones.
 	candidatePeriod = 10 * time.Second
-	// holdPeriod is how long what the last hub of the own zone told still counts after its link
-	// has ended: until the next hubs are linked to and have told.
+	// holdPeriod is how long the updates of the last hub of this instance's zone still count after the
+	// link to it has ended: until the next hubs are linked and have sent theirs.
 	holdPeriod = time.Second
-	// forgetAfter is how long an instance is known that nobody vouches for. One that is cut
-	// off is back within it, and is still counted as a part of the fleet meanwhile.
+	// forgetAfter is how long an instance that is no longer attested stays known. After a network
+	// partition it is back within this time, and it counts as a part of the fleet meanwhile.
 	forgetAfter = time.Minute
 )
 
-// Table is what one instance knows of all. It isn't safe for concurrent use.
+// Table is what one instance knows of all other instances. It isn't safe for concurrent use.
 type Table struct {
 	self    Member
 	members map[string]*entry
-	sources map[string]*source // tellings by the peer that told them
-	change  uint64             // counts changes of what is told
+	sources map[string]*source // by the peer that sent the updates
+	change  uint64             // counts changes of what updates to peers contain
 }
 
-// source is what one peer has told and hasn't taken back.
+// source is what one peer has sent and not withdrawn.
 type source struct {
 	kind     Kind
 	attested map[string]uint64 // incarnations by address
-	expires  time.Time         // it counts, after its link has ended; zero before
+	expires  time.Time         // set once its link has ended, when it is held for a while
 }
 
-// Status of a member.
+// Status is a member and whether it is reachable.
 type Status struct {
 	Member
-	// Reachable tells whether anybody vouches for it.
+	// Reachable reports whether any peer attests it.
 	Reachable bool
 }
 
@@ -49,8 +49,8 @@
 	return &Table{self: self, members: map[string]*entry{}, sources: map[string]*source{}}
 }
 
-// ChangeCount counts the changes of which members there are and which are within reach, but for
-// those that come with time alone.
+// ChangeCount returns the number of changes of the members and of which of them are reachable so far.
+// Changes that come with the passage of time alone don't count.
 func (t *Table) ChangeCount() uint64 { return t.change }
 
 // Member returns what is known of an address.
@@ -62,34 +62,34 @@
 	return e.Member, true
 }
 
-// SetSelfDraining notes whether this instance itself drains: then it is no hub.
-func (t *Table) SetSelfDraining(drains bool) { t.self.Draining = drains }
+// SetSelfDraining sets whether this instance drains. A draining instance is no hub.
+func (t *Table) SetSelfDraining(draining bool) { t.self.Draining = draining }
 
-// LinkUp notes that a link to a member is up, which is proof of its process.
+// LinkUp records that a link to a member is up, which is proof of its process.
 func (t *Table) LinkUp(now time.Time, m Member) {
 	if m.Address == t.self.Address {
 		return
 	}
 	e := t.entry(m.Address)
 	if e.Incarnation == m.Incarnation {
-		m.Draining = e.Draining // told by heartbeats
+		m.Draining = e.Draining // known from heartbeats
 	}
 	e.update(m, true)
 	e.linked = true
 	t.reevaluate(now, e)
 }
 
-// SetDraining notes what a member says of itself.
-func (t *Table) SetDraining(now time.Time, address string, drains bool) {
+// SetDraining records whether a member reports that it drains.
+func (t *Table) SetDraining(now time.Time, address string, draining bool) {
 	e := t.members[address]
-	if e == nil || e.Draining == drains {
+	if e == nil || e.Draining == draining {
 		return
 	}
-	e.Draining = drains
+	e.Draining = draining
 	t.reevaluate(now, e)
 }
 
-// LinkDown notes that the last link to a member has ended: it vouches for nobody any more.
+// LinkDown records that the last link to a member has ended: it no longer attests other members.
 func (t *Table) LinkDown(now time.Time, address string) {
 	t.dropOrHoldSource(now, address)
 	t.LinkFailed(now, address)
@@ -99,16 +99,16 @@
 	}
 }
 
-// LinkFailed notes that no link to a member could be made: until somebody vouches for it anew it
-// isn't taken for a hub.
+// LinkFailed records that no link to a member could be made: it is no hub candidate until it is
+// attested again.
 func (t *Table) LinkFailed(now time.Time, address string) {
 	if e := t.members[address]; e != nil {
 		e.linkFailedAt = now
 	}
 }
 
-// dropOrHoldSource takes back what a peer has told, at once or, where it was the last that told of the
-// whole fleet, after a while.
+// dropOrHoldSource drops what a peer has sent, or holds it for holdPeriod where the peer was the last
+// one in this zone to send Indirect updates, which cover the whole fleet.
 func (t *Table) dropOrHoldSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	e := t.members[peer]
@@ -129,7 +129,7 @@
 	return n
 }
 
-// dropHeldSources drops what was held of other peers, once it is too old or somebody has told anew.
+// dropHeldSources drops held sources that have expired, or all of them.
 func (t *Table) dropHeldSources(now time.Time, all bool) {
 	for peer, s := range t.sources {
 		if !s.expires.IsZero() && (all || now.After(s.expires)) {
@@ -138,13 +138,14 @@
 	}
 }
 
-// Tick lets time pass: it forgets members for which nobody has vouched for long.
+// Tick drops held sources that have expired, and forgets members that have not been attested for
+// forgetAfter.
 func (t *Table) Tick(now time.Time) {
 	t.dropHeldSources(now, false)
 	t.forget(now)
 }
 
-// dropSource takes back all that a peer has told.
+// dropSource withdraws all that a peer has sent.
 func (t *Table) dropSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	delete(t.sources, peer)
@@ -158,41 +159,41 @@
 	}
 }
 
-// Merge takes what a peer tells.
-func (t *Table) Merge(now time.Time, from string, told *Update) {
-	if told.Kind == Bootstrap {
-		t.mergeBootstrap(now, told.Records)
+// Merge merges an update from a peer. An Indirect one replaces held sources.
+func (t *Table) Merge(now time.Time, from string, update *Update) {
+	if update.Kind == Bootstrap {
+		t.mergeBootstrap(now, update.Records)
 		return
 	}
 	s := t.sources[from]
-	if s == nil || told.Full || s.kind != told.Kind {
+	if s == nil || update.Full || s.kind != update.Kind {
 		t.dropSource(now, from)
-		s = &source{kind: told.Kind, attested: map[string]uint64{}}
+		s = &source{kind: update.Kind, attested: map[string]uint64{}}
 		t.sources[from] = s
 	}
-	defer t.dropHeldSources(now, told.Kind == Indirect)
-	for i := range told.Records {
-		t.mergeRecord(now, s, &told.Records[i])
+	defer t.dropHeldSources(now, update.Kind == Indirect)
+	for i := range update.Records {
+		t.mergeRecord(now, s, &update.Records[i])
 	}
 }
 
-func (t *Table) mergeRecord(now time.Time, s *source, n *Record) {
-	if n.Address == "" || n.Address == t.self.Address {
+func (t *Table) mergeRecord(now time.Time, s *source, r *Record) {
+	if r.Address == "" || r.Address == t.self.Address {
 		return
 	}
-	if n.Removed {
-		delete(s.attested, n.Address)
-		if e := t.members[n.Address]; e != nil {
+	if r.Removed {
+		delete(s.attested, r.Address)
+		if e := t.members[r.Address]; e != nil {
 			t.reevaluate(now, e)
 		}
 		return
 	}
-	e := t.entry(n.Address)
-	if !e.update(t.receivedMember(now, e, n), false) {
+	e := t.entry(r.Address)
+	if !e.update(t.receivedMember(now, e, r), false) {
 		return
 	}
-	known := s.attested[n.Address] == n.Incarnation
-	s.attested[n.Address] = n.Incarnation
+	known := s.attested[r.Address] == r.Incarnation
+	s.attested[r.Address] = r.Incarnation
 	if known {
 		t.reevaluateIfChanged(now, e)
 		return
@@ -200,25 +201,25 @@
 	t.reevaluate(now, e)
 }
 
-// mergeBootstrap takes introductions.
-func (t *Table) mergeBootstrap(now time.Time, news []Record) {
-	for i := range news {
-		n := &news[i]
-		if n.Address == "" || n.Address == t.self.Address || n.Removed {
+// mergeBootstrap merges the records of a Bootstrap update.
+func (t *Table) mergeBootstrap(now time.Time, records []Record) {
+	for i := range records {
+		r := &records[i]
+		if r.Address == "" || r.Address == t.self.Address || r.Removed {
 			continue
 		}
-		e := t.entry(n.Address)
-		if e.update(t.receivedMember(now, e, n), false) {
+		e := t.entry(r.Address)
+		if e.update(t.receivedMember(now, e, r), false) {
 			e.bootstrappedAt = now
 			t.reevaluateIfChanged(now, e)
 		}
 	}
 }
 
-// receivedMember returns the member that news is of. What an instance itself says of draining goes
-// before what others say.
-func (t *Table) receivedMember(now time.Time, e *entry, n *Record) Member {
-	m := n.member(now)
+// receivedMember returns the member that a record describes. Whether a linked member drains is known
+// from the member itself, which takes precedence over the record.
+func (t *Table) receivedMember(now time.Time, e *entry, r *Record) Member {
+	m := r.member(now)
 	if e.linked && e.Incarnation == m.Incarnation {
 		m.Draining = e.Draining
 	}
@@ -234,13 +235,13 @@
 	return e
 }
 
-// reevaluate works out anew who vouches for a member, and notes whether that or the member itself
-// has changed.
+// reevaluate recomputes which sources attest a member, and counts a change where that or the member
+// itself has changed.
 func (t *Table) reevaluate(now time.Time, e *entry) {
 	was := e.alive
 	e.hubLinked, e.alive = e.linked, e.linked
 	for _, s := range t.sources {
-		if incarnation, told := s.attested[e.Address]; told && incarnation == e.Incarnation {
+		if incarnation, attested := s.attested[e.Address]; attested && incarnation == e.Incarnation {
 			e.alive = true
 			e.hubLinked = e.hubLinked || s.kind == Direct
 		}
@@ -257,26 +258,28 @@
 	}
 }
 
-// reevaluateIfChanged weighs a member for which nobody else vouches than before, if it has changed.
+// reevaluateIfChanged reevaluates a member whose attestations are unchanged, if the member itself has
+// changed.
 func (t *Table) reevaluateIfChanged(now time.Time, e *entry) {
 	if e.changedAt == 0 || e.Member != e.published.Member {
 		t.reevaluate(now, e)
 	}
 }
 
-// isReachable tells whether a member counts as within reach.
+// isReachable reports whether a member counts as reachable: it is attested, or was received in a
+// Bootstrap update recently and has never been attested.
 func (t *Table) isReachable(now time.Time, e *entry) bool {
-	hoped := !e.everAlive && e.bootstrappedAt.After(e.linkFailedAt) && now.Sub(e.bootstrappedAt) < bootstrapPeriod
-	return e.alive || hoped
+	bootstrapped := !e.everAlive && e.bootstrappedAt.After(e.linkFailedAt) && now.Sub(e.bootstrappedAt) < bootstrapPeriod
+	return e.alive || bootstrapped
 }
 
-// Reachable tells whether a member is known to be within reach.
+// Reachable reports whether a member is known to be reachable.
 func (t *Table) Reachable(now time.Time, address string) bool {
 	e := t.members[address]
 	return e != nil && t.isReachable(now, e)
 }
 
-// Members returns all that are known, in no order.
+// Members returns all known members, in no particular order.
 func (t *Table) Members(now time.Time) []Status {
 	out := make([]Status, 0, len(t.members))
 	for _, e := range t.members {
@@ -298,23 +301,23 @@
 	}
 }
 
-// UpdateSince returns what is to be told in a telling of a kind beyond what was told at a change
-// before, 0 for the first, and the change up to which it tells.
+// UpdateSince returns an update of a kind with the members that have changed since a change count, 0
+// for a full one, and the change count up to which it is complete.
 func (t *Table) UpdateSince(now time.Time, k Kind, since uint64) (*Update, uint64) {
-	told := &Update{Kind: k, Full: since == 0}
+	update := &Update{Kind: k, Full: since == 0}
 	if k == None || since == t.change {
-		return told, t.change
+		return update, t.change
 	}
 	for _, e := range t.members {
-		gone := !t.includes(now, k, e)
-		if e.changedAt > since && (!gone || since > 0) {
-			told.Records = append(told.Records, e.record(now, gone))
+		removed := !t.includes(now, k, e)
+		if e.changedAt > since && (!removed || since > 0) {
+			update.Records = append(update.Records, e.record(now, removed))
 		}
 	}
-	return told, t.change
+	return update, t.change
 }
 
-// includes includes whether a member belongs in a telling of a kind.
+// includes reports whether updates of a kind contain a member.
 func (t *Table) includes(now time.Time, k Kind, e *entry) bool {
 	switch k {
 	case Direct:
