--- a/internal/routing/build.go
+++ b/internal/routing/build.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
-// ErrInvalid: the document makes no sense as a whole. What was in force stays so;
-// mend what the text names and publish again.
-var ErrInvalid = errors.New("the routed configuration is invalid; what was in force stays in force")
+// ErrInvalid reports a document that is invalid as a whole. The configuration in
+// force stays in force. Operators correct the faults that the text names and
+// publish again.
+var ErrInvalid = errors.New("the routed configuration is invalid and was not applied; the one in force stays")
 
 // Build checks a document and indexes it. The error wraps ErrInvalid and names
 // every fault found.
@@ -49,7 +50,7 @@
 
 func (b *builder) limits(l Limits) {
 	if l.MaxBodyBytes < 0 {
-		b.fault("limits: the body's may not be negative")
+		b.fault("limits: the maximum body size may not be negative")
 	}
 }
 
@@ -90,7 +91,8 @@
 	}
 }
 
-// checkServices checks where a route's requests go.
+// checkServices reports whether the services of a route exist and have valid
+// weights.
 func (b *builder) checkServices(r *Route) bool {
 	total := 0
 	for _, s := range r.Services {
@@ -105,7 +107,7 @@
 		total += s.Weight
 	}
 	if total == 0 {
-		b.fault("route %s goes to no service", r.Name)
+		b.fault("route %s has no service with a weight above 0", r.Name)
 		return false
 	}
 	return true
@@ -129,7 +131,7 @@
 	}
 }
 
-// order puts the routes of each host so that the longest prefix is found first.
+// order sorts the routes of each host so that Match finds the longest prefix first.
 func (b *builder) order() {
 	for _, routes := range b.table.byHost {
 		slices.SortStableFunc(routes, func(x, y *Route) int { return len(y.Prefix) - len(x.Prefix) })
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,9 @@
 // Package routing holds the routed configuration in force: which requests go to
-// which service, whose API keys are valid, and what each organisation may use.
+// which service, which organisation an API key belongs to, and what each
+// organisation may use.
 //
-// A Table is built once from a Document, checked as a whole, and never changed
-// afterwards, so that a request sees one version of everything. Safe for
+// A Table is built from a Document, which is checked as a whole, and never changes
+// afterwards, so that a request uses one version of everything. It is safe for
 // concurrent use.
 package routing
 
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind determines which requests of a route may be retried.
 type Kind uint8
 
 // The kinds.
@@ -21,8 +22,8 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Stream requests are answered by events. They run at most once, unless the
-	// route is resumable.
+	// Stream requests get their response as events. They run at most once, unless
+	// the route is resumable.
 	Stream
 )
 
@@ -48,40 +49,43 @@
 	// Prefix of the path; begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may be gone on with by another upstream.
+	// Resumable streams may be resumed by another upstream.
 	Resumable bool
-	// Timeout bounds the whole answer.
+	// Timeout bounds the whole response.
 	Timeout time.Duration
-	// LatencyObjective is the latency objective of the answer, of a stream's first event.
+	// LatencyObjective is the time in which the response should be complete, or the
+	// first event of a stream should arrive.
 	LatencyObjective time.Duration
-	// MaxEventInterval is the longest pause between two events that is still in time; 0
-	// where the route has none.
+	// MaxEventInterval is the longest time between two events of a stream that
+	// meets the objective; 0 where the route has none.
 	MaxEventInterval time.Duration
 	// Rank of its requests; 0 is the most important.
 	Rank int
-	// MaxAttempts is how many upstreams one request may be sent to.
+	// MaxAttempts is the number of upstreams that one request may be sent to.
 	MaxAttempts int
 	// Public routes need no API key.
 	Public bool
-	// Services of its requests over services, by weight.
+	// Services get the route's requests, split by weight.
 	Services []WeightedService
 	// AllowedRegions are the regions in which its requests may run; none allows all.
 	AllowedRegions []string
 }
 
-// MayRetry tells whether a request that may have run may be sent again.
+// MayRetry reports whether a request that may have run may be sent again.
 func (r *Route) MayRetry() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// RegionConstraint is where requests of an organisation on a route may run: both bind where both have homes.
+// RegionConstraint is the set of regions in which a request may run.
 type RegionConstraint struct {
-	// Bound tells whether Regions alone may run them; else all may.
+	// Bound reports whether the request is restricted to Regions; otherwise it may
+	// run in any region.
 	Bound   bool
 	Regions []string
 }
 
-// RegionConstraintOf returns where requests of an organisation on a route may run; the organisation may be nil.
+// RegionConstraintOf returns where requests of an organisation on a route may run:
+// in the regions that both allow. The organisation may be nil.
 func RegionConstraintOf(r *Route, o *Organisation) RegionConstraint {
 	regions := r.AllowedRegions
 	switch {
@@ -89,13 +93,14 @@
 	case len(regions) == 0:
 		regions = o.AllowedRegions
 	default:
-		regions = slices.DeleteFunc(slices.Clone(regions), func(home string) bool { return !slices.Contains(o.AllowedRegions, home) })
+		regions = slices.DeleteFunc(slices.Clone(regions), func(region string) bool { return !slices.Contains(o.AllowedRegions, region) })
 		return RegionConstraint{Bound: true, Regions: regions}
 	}
 	return RegionConstraint{Bound: len(regions) > 0, Regions: regions}
 }
 
-// WeightedService is a part of a route's requests.
+// WeightedService is a service that gets a share of a route's requests, in
+// proportion to its weight.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -105,15 +110,15 @@
 type Organisation struct {
 	Name string
 	Keys []string
-	// Rank, where set, goes before the route's.
+	// Rank, where set, takes precedence over the route's.
 	Rank *int
 	// TokensPerSecond over all instances; 0 is no limit.
 	TokensPerSecond float64
-	// BurstTokens may be used beyond it at once.
+	// BurstTokens may be used at once in addition.
 	BurstTokens float64
-	// DefaultTokens is what a request counts that doesn't say its size.
+	// DefaultTokens is the size assumed for a request that doesn't state one.
 	DefaultTokens int
-	// CountsRequests limits requests instead of tokens: each counts one.
+	// CountsRequests limits requests instead of tokens: each request counts as one.
 	CountsRequests bool
 	// AllowedRegions are the regions in which its requests may run; none allows all.
 	AllowedRegions []string
@@ -122,12 +127,13 @@
 // Service is a set of upstreams that requests are sent to.
 type Service struct {
 	Name string
-	// TokensPerEvent is how many tokens one event of an engine's stream holds; 0 where
-	// events don't tell.
+	// TokensPerEvent is the number of tokens in one event of an engine's stream; 0
+	// where events don't state it.
 	TokensPerEvent int
 	// ColdStart is how long an upstream is cold after its start; 0 where it never is.
 	ColdStart time.Duration
-	// ColdStartRate is how many requests a second a cold one bears; it crashes well beyond.
+	// ColdStartRate is the number of requests per second that a cold upstream can
+	// serve; it crashes at rates well above.
 	ColdStartRate float64
 }
 
@@ -139,7 +145,7 @@
 
 // Document is the configuration as published, decoded and not yet checked.
 type Document struct {
-	// Version that operators gave it; higher is newer.
+	// Version set by operators; higher is newer.
 	Version       int64
 	Routes        []Route
 	Services      []Service
@@ -182,13 +188,14 @@
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns all services by their names. They are not to be changed.
+// Services returns all services by name. The caller must not modify the map.
 func (t *Table) Services() map[string]*Service { return t.services }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return t.routes }
 
-// ChooseService returns the service of a request. Draw is uniform in [0, 1).
+// ChooseService returns the service for a request, by weight. Draw is a random
+// number that is uniform in [0, 1).
 func (r *Route) ChooseService(draw float64) string {
 	total := 0
 	for _, s := range r.Services {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchPrefersLongestPrefixOfHost(t *testing.T) {
 	table, err := Build(document())
 	is.New(t).NoErr(err)
 	for _, c := range []struct{ host, path, want string }{
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestKeysNameTheirOrganisation(t *testing.T) {
+func TestOrganisationByKey(t *testing.T) {
 	is := is.New(t)
 	table, err := Build(document())
 	is.NoErr(err)
@@ -55,7 +55,7 @@
 	is.True(table.OrganisationByKey("") == nil)
 }
 
-func TestSplitFollowsWeights(t *testing.T) {
+func TestChooseServiceFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	r := Route{Services: []WeightedService{{"desk", 90}, {"app", 10}, {"idle", 0}}}
 	is.Equal(r.ChooseService(0), "desk")
@@ -64,7 +64,7 @@
 	is.Equal(r.ChooseService(0.9999), "app")
 }
 
-func TestOnlyRepeatableKindsMayRepeat(t *testing.T) {
+func TestMayRetryByKind(t *testing.T) {
 	is := is.New(t)
 	is.True((&Route{Kind: Idempotent}).MayRetry())
 	is.True((&Route{Kind: Stream, Resumable: true}).MayRetry())
@@ -72,30 +72,30 @@
 	is.True(!(&Route{Kind: NonIdempotent, Resumable: true}).MayRetry())
 }
 
-func TestSenselessDocumentsAreRefusedWithTheFault(t *testing.T) {
+func TestBuildRejectsInvalidDocumentAndNamesFault(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*Document)
-		fault string
+		corrupt func(*Document)
+		fault   string
 	}{
 		"prefix without slash": {func(d *Document) { d.Routes[0].Prefix = "x/" }, "must begin and end"},
 		"unknown service":      {func(d *Document) { d.Routes[0].Services[0].Service = "gone" }, `"gone", which isn't declared`},
-		"no service":           {func(d *Document) { d.Routes[0].Services = nil }, "goes to no service"},
-		"weights of nothing":   {func(d *Document) { d.Routes[0].Services[0].Weight = 0 }, "goes to no service"},
+		"no service":           {func(d *Document) { d.Routes[0].Services = nil }, "no service with a weight above 0"},
+		"weights of zero":      {func(d *Document) { d.Routes[0].Services[0].Weight = 0 }, "no service with a weight above 0"},
 		"no timeout":           {func(d *Document) { d.Routes[0].Timeout = 0 }, "timeout above 0"},
 		"no attempts":          {func(d *Document) { d.Routes[0].MaxAttempts = 0 }, "at least one attempt"},
 		"unknown kind":         {func(d *Document) { d.Routes[0].Kind = 9 }, "unknown kind"},
-		"service twice":        {func(d *Document) { d.Services = append(d.Services, Service{Name: "app"}) }, "declared twice"},
-		"key of two holders": {func(d *Document) {
+		"duplicate service":    {func(d *Document) { d.Services = append(d.Services, Service{Name: "app"}) }, "declared twice"},
+		"key of two organisations": {func(d *Document) {
 			d.Organisations = append(d.Organisations, Organisation{Name: "o", Keys: []string{"k1"}})
 		}, "hold the same key"},
-		"negative quota":        {func(d *Document) { d.Organisations[0].TokensPerSecond = -1 }, "negative quota"},
-		"negative limit":        {func(d *Document) { d.Limits.MaxBodyBytes = -1 }, "may not be negative"},
-		"organisation nameless": {func(d *Document) { d.Organisations[0].Name = "" }, "has no name"},
+		"negative quota":            {func(d *Document) { d.Organisations[0].TokensPerSecond = -1 }, "negative quota"},
+		"negative limit":            {func(d *Document) { d.Limits.MaxBodyBytes = -1 }, "may not be negative"},
+		"organisation without name": {func(d *Document) { d.Organisations[0].Name = "" }, "has no name"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := document()
-			c.spoil(d)
+			c.corrupt(d)
 			_, err := Build(d)
 			is.True(errors.Is(err, ErrInvalid))
 			is.True(strings.Contains(err.Error(), c.fault)) // names the fault
@@ -103,17 +103,17 @@
 	}
 }
 
-// Where a route and an organisation both have homes, both bind.
-func TestHomesOfRouteAndOrganisationBothBind(t *testing.T) {
+// Where a route and an organisation both restrict regions, both restrictions apply.
+func TestRegionConstraintOfCombinesRouteAndOrganisation(t *testing.T) {
 	for name, c := range map[string]struct {
 		route, organisation []string
 		want                RegionConstraint
 	}{
 		"none":              {nil, nil, RegionConstraint{}},
-		"of the route":      {[]string{"a"}, nil, RegionConstraint{Bound: true, Regions: []string{"a"}}},
-		"of the other":      {nil, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
-		"of both":           {[]string{"a", "b"}, []string{"b", "c"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
-		"of both, no match": {[]string{"a"}, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{}}},
+		"route only":        {[]string{"a"}, nil, RegionConstraint{Bound: true, Regions: []string{"a"}}},
+		"organisation only": {nil, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
+		"both":              {[]string{"a", "b"}, []string{"b", "c"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
+		"both, disjoint":    {[]string{"a"}, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
