--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -139,7 +139,7 @@
 	route := func(name string, kind routing.Kind) routing.Route {
 		return routing.Route{
 			Name: name, Host: "h.example", Prefix: "/" + name + "/", Kind: kind, Timeout: 20 * time.Second,
-			LatencyObjective: 5 * time.Second, MaxEventInterval: 5 * time.Second, MaxAttempts: 2, Services: []routing.WeightedService{{Service: "s", Weight: 1}},
+			LatencyObjective: 5 * time.Second, MaxEventInterval: 5 * time.Second, MaxAttempts: 2, Split: []routing.WeightedService{{Service: "s", Weight: 1}},
 		}
 	}
 	r.document = routing.Document{
--- a/internal/routing/build.go
+++ b/internal/routing/build.go
@@ -10,7 +10,7 @@
 // ErrInvalid reports a document that is invalid as a whole. The configuration in
 // force stays in force. Operators correct the faults that the text names and
 // publish again.
-var ErrInvalid = errors.New("the routed configuration is invalid and was not applied; the one in force stays")
+var ErrInvalid = errors.New("the routed configuration is invalid; the one in force stays in force")
 
 // Build checks a document and indexes it. The error wraps ErrInvalid and names
 // every fault found.
@@ -95,7 +95,7 @@
 // weights.
 func (b *builder) checkServices(r *Route) bool {
 	total := 0
-	for _, s := range r.Services {
+	for _, s := range r.Split {
 		if b.table.services[s.Service] == nil {
 			b.fault("route %s names service %q, which isn't declared", r.Name, s.Service)
 			return false
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -65,8 +65,8 @@
 	MaxAttempts int
 	// Public routes need no API key.
 	Public bool
-	// Services get the route's requests, split by weight.
-	Services []WeightedService
+	// Split of its requests over services, by weight.
+	Split []WeightedService
 	// AllowedRegions are the regions in which its requests may run; none allows all.
 	AllowedRegions []string
 }
@@ -198,15 +198,15 @@
 // number that is uniform in [0, 1).
 func (r *Route) ChooseService(draw float64) string {
 	total := 0
-	for _, s := range r.Services {
+	for _, s := range r.Split {
 		total += s.Weight
 	}
 	at := draw * float64(total)
-	for _, s := range r.Services {
+	for _, s := range r.Split {
 		at -= float64(s.Weight)
 		if at < 0 {
 			return s.Service
 		}
 	}
-	return r.Services[len(r.Services)-1].Service
+	return r.Split[len(r.Split)-1].Service
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,7 +11,7 @@
 
 func document() *Document {
 	route := func(name, host, prefix string, kind Kind) Route {
-		return Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: time.Second, MaxAttempts: 2, Services: []WeightedService{{Service: "desk", Weight: 1}}}
+		return Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: time.Second, MaxAttempts: 2, Split: []WeightedService{{Service: "desk", Weight: 1}}}
 	}
 	return &Document{
 		Version:       4,
@@ -57,7 +57,7 @@
 
 func TestChooseServiceFollowsWeights(t *testing.T) {
 	is := is.New(t)
-	r := Route{Services: []WeightedService{{"desk", 90}, {"app", 10}, {"idle", 0}}}
+	r := Route{Split: []WeightedService{{"desk", 90}, {"app", 10}, {"idle", 0}}}
 	is.Equal(r.ChooseService(0), "desk")
 	is.Equal(r.ChooseService(0.89), "desk")
 	is.Equal(r.ChooseService(0.91), "app")
@@ -78,9 +78,9 @@
 		fault   string
 	}{
 		"prefix without slash": {func(d *Document) { d.Routes[0].Prefix = "x/" }, "must begin and end"},
-		"unknown service":      {func(d *Document) { d.Routes[0].Services[0].Service = "gone" }, `"gone", which isn't declared`},
-		"no service":           {func(d *Document) { d.Routes[0].Services = nil }, "no service with a weight above 0"},
-		"weights of zero":      {func(d *Document) { d.Routes[0].Services[0].Weight = 0 }, "no service with a weight above 0"},
+		"unknown service":      {func(d *Document) { d.Routes[0].Split[0].Service = "gone" }, `"gone", which isn't declared`},
+		"no service":           {func(d *Document) { d.Routes[0].Split = nil }, "no service with a weight above 0"},
+		"weights of zero":      {func(d *Document) { d.Routes[0].Split[0].Weight = 0 }, "no service with a weight above 0"},
 		"no timeout":           {func(d *Document) { d.Routes[0].Timeout = 0 }, "timeout above 0"},
 		"no attempts":          {func(d *Document) { d.Routes[0].MaxAttempts = 0 }, "at least one attempt"},
 		"unknown kind":         {func(d *Document) { d.Routes[0].Kind = 9 }, "unknown kind"},
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -49,7 +49,7 @@
 		Services: []routing.Service{{Name: "s"}},
 		Routes: []routing.Route{{
 			Name: string(content), Host: "h", Prefix: "/", Kind: routing.Idempotent,
-			Timeout: time.Second, MaxAttempts: 1, Services: []routing.WeightedService{{Service: "s", Weight: 1}},
+			Timeout: time.Second, MaxAttempts: 1, Split: []routing.WeightedService{{Service: "s", Weight: 1}},
 		}},
 	}, nil
 }
