--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -34,8 +34,8 @@
 	Removed bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Kind of an update says how the sender knows the members in it. It decides whether the receiver may
-// pass them on.
+// Kind is the kind of an update: how its sender knows the members in it, which decides whether the
+// receiver may pass them on.
 type Kind uint8
 
 // The kinds.
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// dropOrHoldSource drops what a peer has sent, or holds it for holdPeriod where the peer was the last
-// one in this zone to send Indirect updates, which cover the whole fleet.
+// dropOrHoldSource drops what a peer has sent. It holds it for holdPeriod instead where the peer is in
+// this instance's zone and was the only source of Indirect updates, which cover the whole fleet.
 func (t *Table) dropOrHoldSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	e := t.members[peer]
--- a/internal/routing/build.go
+++ b/internal/routing/build.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// ErrInvalid reports a document that is invalid as a whole. The configuration in
-// force stays in force. Operators correct the faults that the text names and
-// publish again.
+// ErrInvalid is wrapped by the errors of Build. A document with any fault is refused
+// as a whole, and the configuration in force stays in force. Operators correct the
+// faults that the text names and publish again.
 var ErrInvalid = errors.New("the routed configuration is invalid; the one in force stays in force")
 
 // Build checks a document and indexes it. The error wraps ErrInvalid and names
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -110,7 +110,7 @@
 	Upstream   Upstream
 }
 
-// Options of a View.
+// Options configure a View.
 type Options struct {
 	Source Source
 	// Lease is the maximum age of the configuration for requests under an API key.
