--- a/cmd/tacktallyd/main.go
+++ b/cmd/tacktallyd/main.go
@@ -102,10 +102,10 @@
 		return daemon.New(s, os.Stdout)
 	}
 	i, err := entry.New(entry.Options{
-		Settings: s,
-		Source:   platform.NewSource(s.Routed.Store, time.Duration(s.Routed.ProveEvery)),
-		Protocol: platform.Protocol{},
-		LogTo:    os.Stdout,
+		Settings:  s,
+		Source:    platform.NewSource(s.Routed.Store, time.Duration(s.Routed.ProveEvery)),
+		Protocol:  platform.Protocol{},
+		LogWriter: os.Stdout,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -166,10 +166,10 @@
 	var urls []string
 	for _, running := range []int{3, 4} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.MarshalWrite(w, entry.Places{
+			_ = json.MarshalWrite(w, entry.ZoneReport{
 				Instance: "10.0.0.1:1", Version: 9,
 				Zones: []entry.Zone{{Name: "bole", Evacuated: true, Upstreams: 2, Running: running}, {Name: "piassa", Running: 5}},
-				Cold:  []entry.ColdUpstream{{ID: "i-1", Zone: "piassa", LeftMS: 1200}},
+				Cold:  []entry.ColdUpstream{{ID: "i-1", Zone: "piassa", RemainingMS: 1200}},
 			})
 		}))
 		defer s.Close()
--- a/internal/cli/places.go
+++ b/internal/cli/places.go
@@ -22,7 +22,7 @@
 
 // Execute implements flags.Commander.
 func (c *placesCommand) Execute([]string) error {
-	var all []entry.Places
+	var all []entry.ZoneReport
 	for _, url := range c.Metrics {
 		p, err := c.read(url)
 		if err != nil {
@@ -41,8 +41,8 @@
 	})
 }
 
-func (c *placesCommand) read(url string) (p entry.Places, err error) {
-	request, err := sling.New().Base(url).Get(entry.PlacesPath).Request()
+func (c *placesCommand) read(url string) (p entry.ZoneReport, err error) {
+	request, err := sling.New().Base(url).Get(entry.ZoneReportPath).Request()
 	if err != nil {
 		return p, fmt.Errorf("%w: %q is no URL: %w", errNoPlaces, url, err)
 	}
@@ -60,13 +60,13 @@
 	return p, nil
 }
 
-func printPlaces(w io.Writer, p entry.Places) {
-	fmt.Fprintf(w, "instance\t%s\tevacuations known up to revision %d, work held back by limits of starts %d times\n", p.Instance, p.Version, p.HeldStarts)
+func printPlaces(w io.Writer, p entry.ZoneReport) {
+	fmt.Fprintf(w, "instance\t%s\tevacuations known up to revision %d, work held back by limits of starts %d times\n", p.Instance, p.Version, p.LimitedGrants)
 	for _, z := range p.Zones {
 		fmt.Fprintf(w, "zone\t%s\t%s, %d upstreams, %d requests of this instance\n", z.Name, inService(z.Evacuated), z.Upstreams, z.Running)
 	}
 	for _, u := range p.Cold {
-		fmt.Fprintf(w, "cold\t%s\tin %s, for %d ms more\n", u.ID, u.Zone, u.LeftMS)
+		fmt.Fprintf(w, "cold\t%s\tin %s, for %d ms more\n", u.ID, u.Zone, u.RemainingMS)
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // printTotal prints how many requests all instances that were asked have in evacuated zones.
-func printTotal(w io.Writer, all []entry.Places) {
+func printTotal(w io.Writer, all []entry.ZoneReport) {
 	running := map[string]int{}
 	for _, p := range all {
 		for _, z := range p.Zones {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -22,7 +22,7 @@
 }
 
 // State implements peer.Handler.
-func (p *peerHandler) State(f *peer.Fetch) *peer.State {
+func (p *peerHandler) State(f *peer.FetchRequest) *peer.State {
 	s := &peer.State{}
 	if c := p.holder.Current(); c != nil {
 		s.Revision = c.Revision
@@ -37,16 +37,16 @@
 	return s
 }
 
-// Fetch implements peer.Handler.
-func (p *peerHandler) Fetch() *peer.Fetch {
+// FetchRequest implements peer.Handler.
+func (p *peerHandler) FetchRequest() *peer.FetchRequest {
 	if c := p.holder.Current(); c != nil {
-		return &peer.Fetch{Parts: c.PartSums()}
+		return &peer.FetchRequest{Parts: c.PartSums()}
 	}
-	return &peer.Fetch{}
+	return &peer.FetchRequest{}
 }
 
-// Learn implements peer.Handler.
-func (p *peerHandler) Learn(from string, _ time.Time, s *peer.State) {
+// MergeState implements peer.Handler.
+func (p *peerHandler) MergeState(from string, _ time.Time, s *peer.State) {
 	d := (*Daemon)(p)
 	if s.Revision > 0 {
 		d.offer(d.life, s.Revision, s.Content, s.Parts, "peer "+from)
@@ -74,8 +74,8 @@
 	}
 }
 
-// Heard implements peer.Handler.
-func (p *peerHandler) Heard(from string, h *peer.Heartbeat) {
+// HandleHeartbeat implements peer.Handler.
+func (p *peerHandler) HandleHeartbeat(from string, h *peer.Heartbeat) {
 	for _, address := range h.Leaving {
 		p.dispatcher.MarkLeaving(address)
 	}
@@ -83,15 +83,15 @@
 	p.organisations.Heard(from, h.Demand)
 	p.quarantine.Learn(time.Now(), h.Quarantine) // all are linked to all: nobody has it from here alone
 	if h.Revision > p.holder.Revision() || h.ListVersion > p.instances.version() {
-		p.mesh.FetchSoon(from)
+		p.mesh.ScheduleFetch(from)
 	}
 }
 
-// Pressure implements peer.Handler.
-func (p *peerHandler) Pressure(pr peer.Pressure) { p.dispatcher.ShedLower(pr.Set, pr.Rank) }
+// HandlePressure implements peer.Handler.
+func (p *peerHandler) HandlePressure(pr peer.Pressure) { p.dispatcher.ShedLower(pr.Set, pr.Rank) }
 
-// Silent implements peer.Handler.
-func (p *peerHandler) Silent(address string) {
+// PeerLost implements peer.Handler.
+func (p *peerHandler) PeerLost(address string) {
 	p.dispatcher.SetOthers(address, nil)
 	p.organisations.Silent(address)
 }
@@ -103,14 +103,14 @@
 func (d *Daemon) press(set string, rank int) {
 	ctx, cancel := context.WithTimeout(context.Background(), pressPatience)
 	defer cancel()
-	d.mesh.Press(ctx, peer.Pressure{Set: set, Rank: rank})
+	d.mesh.SendPressure(ctx, peer.Pressure{Set: set, Rank: rank})
 }
 
 // ServeSlot implements peer.Handler. Instances of this kind share upstreams by what their
 // heartbeats tell; none is asked for slots.
 func (p *peerHandler) ServeSlot(ctx context.Context, _ *peer.SlotRequest, s *peer.SlotStream) {
 	refusal := peer.SlotRefusal{Reason: string(api.ReasonUnknownService), Detail: "this instance schedules its own requests only"}
-	if err := s.Refused(ctx, refusal); err != nil {
+	if err := s.SendRefusal(ctx, refusal); err != nil {
 		p.log.Warn().Str("event", "slot_not_refused").Str("peer", s.Peer).Str("cause", err.Error()).Msg("")
 	}
 }
@@ -118,8 +118,8 @@
 // ServeQuota implements peer.Handler. Instances of this kind divide limits by demand.
 func (p *peerHandler) ServeQuota(*peer.QuotaRequest) *peer.QuotaReply { return &peer.QuotaReply{} }
 
-// QuotaReturned implements peer.Handler. None were granted.
-func (p *peerHandler) QuotaReturned(*peer.QuotaReturn) {}
+// HandleQuotaReturn implements peer.Handler. None were granted.
+func (p *peerHandler) HandleQuotaReturn(*peer.QuotaReturn) {}
 
-// Unlinked implements peer.Handler. What was told by the peer holds until it is silent.
-func (p *peerHandler) Unlinked(string) {}
+// LinkLost implements peer.Handler. What was told by the peer holds until it is silent.
+func (p *peerHandler) LinkLost(string) {}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -59,8 +59,8 @@
 	Settings *settings.Settings
 	Source   view.Source
 	Protocol proxy.Protocol
-	// LogTo takes the log. Writing to it may block; logging doesn't.
-	LogTo io.Writer
+	// LogWriter takes the log. Writing to it may block; logging doesn't.
+	LogWriter io.Writer
 }
 
 // Instance is one running instance.
@@ -99,7 +99,7 @@
 		settings:    s,
 		incarnation: idempotency.NewIncarnation(),
 		started:     time.Now(),
-		output:      telemetry.NewBounded(o.LogTo),
+		output:      telemetry.NewBounded(o.LogWriter),
 		metrics:     telemetry.NewMetrics(),
 	}
 	if err := i.listeners.open(s, i.metrics); err != nil {
@@ -137,17 +137,17 @@
 	})
 	i.ready = readiness{view: i.view}
 	i.mesh = peer.NewMesh(peer.Options{
-		Address:      i.address,
-		Listen:       s.Peers.Address,
-		Zone:         s.Zone,
-		Incarnation:  uint64(i.incarnation),
-		Cores:        s.Routed.Cores,
-		Heartbeat:    time.Duration(s.Peers.Heartbeat),
-		SuspectAfter: time.Duration(s.Peers.SuspectAfter),
-		FarEvery:     farEvery,
-		Sparse:       true,
-		Handler:      &peers{instance: i},
-		Log:          i.log,
+		Address:        i.address,
+		Listen:         s.Peers.Address,
+		Zone:           s.Zone,
+		Incarnation:    uint64(i.incarnation),
+		Cores:          s.Routed.Cores,
+		Heartbeat:      time.Duration(s.Peers.Heartbeat),
+		SuspectAfter:   time.Duration(s.Peers.SuspectAfter),
+		CrossZoneEvery: farEvery,
+		Sparse:         true,
+		Handler:        &peers{instance: i},
+		Log:            i.log,
 	})
 	i.fleet.UseSlots(i.mesh)
 	i.quotas.UsePeers(i.mesh)
@@ -205,7 +205,7 @@
 // this instance alone: it reads the source, or is a hub. It doesn't block: beliefs are locked
 // while it is called.
 func (i *Instance) tell() {
-	if i.reading.active() || i.mesh.Role().Hub >= 0 {
+	if i.reading.active() || i.mesh.Role().HubRank >= 0 {
 		go i.mesh.Announce()
 	}
 }
@@ -215,7 +215,7 @@
 
 // passOn is tell for news of which many instances tell parts at once. It doesn't block.
 func (i *Instance) passOn() {
-	if i.mesh.Role().Hub < 0 || !i.passingOn.CompareAndSwap(false, true) {
+	if i.mesh.Role().HubRank < 0 || !i.passingOn.CompareAndSwap(false, true) {
 		return
 	}
 	time.AfterFunc(passOnWithin, func() {
@@ -244,8 +244,8 @@
 	i.metrics.Gauge("tacktally_starts_held", func() float64 { return float64(i.fleet.HeldStarts()) })
 	i.metrics.Gauge("tacktally_peers_known", func() float64 { return float64(len(i.mesh.Peers())) })
 	i.metrics.Gauge("tacktally_instances_in_reach", func() float64 { return float64(i.fleet.InstancesInReach()) })
-	i.metrics.Gauge("tacktally_peer_links", func() float64 { return float64(i.mesh.Links()) })
-	i.metrics.Gauge("tacktally_hub", func() float64 { return asNumber(i.mesh.Role().Hub >= 0) })
+	i.metrics.Gauge("tacktally_peer_links", func() float64 { return float64(i.mesh.LinkCount()) })
+	i.metrics.Gauge("tacktally_hub", func() float64 { return asNumber(i.mesh.Role().HubRank >= 0) })
 	i.metrics.Gauge("tacktally_reads_source", func() float64 { return asNumber(i.reading.active()) })
 	i.metrics.Gauge("tacktally_log_lines_dropped", func() float64 { return float64(i.output.Dropped()) })
 }
@@ -320,11 +320,11 @@
 func (i *Instance) tellOwners() {
 	owners := i.fleet.StrayOwners()
 	for _, owner := range owners {
-		i.mesh.Tell(owner)
+		i.mesh.SendHeartbeat(owner)
 	}
 	for _, owner := range i.strayOwners {
 		if !slices.Contains(owners, owner) {
-			i.mesh.Tell(owner) // that nothing of it runs any more
+			i.mesh.SendHeartbeat(owner) // that nothing of it runs any more
 		}
 	}
 	i.strayOwners = owners
@@ -339,7 +339,7 @@
 
 // followInstances tells the fleet which instances are known, if that has changed.
 func (i *Instance) followInstances() {
-	change, now := i.mesh.Change(), time.Now()
+	change, now := i.mesh.MembershipVersion(), time.Now()
 	if change == i.followed.change && now.Sub(i.followed.at) < settlingInterval {
 		return
 	}
@@ -364,7 +364,7 @@
 
 // logMembership notes how many instances there are, if that has changed.
 func (i *Instance) logMembership(instances []fleet.Instance) {
-	now := membership{known: len(instances), hub: i.mesh.Role().Hub, links: i.mesh.Links()}
+	now := membership{known: len(instances), hub: i.mesh.Role().HubRank, links: i.mesh.LinkCount()}
 	for _, other := range instances {
 		if other.InReach {
 			now.inReach++
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -44,7 +44,7 @@
 		Routed:  &settings.Routed{Store: "127.0.0.1:9", Ready: "127.0.0.1:0", Metrics: "127.0.0.1:0"},
 	}
 	s.Provision()
-	i, err := New(Options{Settings: s, Source: nothing{}, Protocol: nothing{}, LogTo: io.Discard})
+	i, err := New(Options{Settings: s, Source: nothing{}, Protocol: nothing{}, LogWriter: io.Discard})
 	is.NoErr(err)
 	t.Cleanup(i.mesh.Close)
 	is.True(!i.fleet.Settled())
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -26,18 +26,18 @@
 }
 
 // State implements peer.Handler.
-func (p *peers) State(f *peer.Fetch) *peer.State {
+func (p *peers) State(f *peer.FetchRequest) *peer.State {
 	v := p.instance.view
 	configuration, age := v.Published()
-	list := v.HandOver(view.Have{Version: f.ListVersion, Whole: !f.Changes, Sums: f.Sums})
+	list := v.HandOver(view.Have{Version: f.ListVersion, Whole: !f.AcceptsDelta, Sums: f.ListChecksums})
 	s := &peer.State{
 		Revision:    configuration.Revision,
 		Age:         age,
 		ListVersion: list.Version,
 		ListAge:     boottime.Since(list.AsOf),
 		ListSince:   list.Since,
-		ListParts:   list.Parts,
-		Vanished:    list.Vanished,
+		ListChunks:  list.Parts,
+		Removed:     list.Vanished,
 		ListDigest:  list.Digest,
 		Leaving:     p.instance.fleet.AllSaidLeaving(),
 		Limits:      p.instance.fleet.AllLimits(),
@@ -60,16 +60,16 @@
 	return s
 }
 
-// Fetch implements peer.Handler.
-func (p *peers) Fetch() *peer.Fetch {
+// FetchRequest implements peer.Handler.
+func (p *peers) FetchRequest() *peer.FetchRequest {
 	v := p.instance.view
 	have := v.Have()
-	return &peer.Fetch{Revision: v.Revision(), ListVersion: have.Version, Changes: true, Sums: have.Sums}
+	return &peer.FetchRequest{Revision: v.Revision(), ListVersion: have.Version, AcceptsDelta: true, ListChecksums: have.Sums}
 }
 
-// Learn implements peer.Handler. What the peer says was true when it was asked, or
+// MergeState implements peer.Handler. What the peer says was true when it was asked, or
 // later: its age is counted from then.
-func (p *peers) Learn(from string, asked time.Time, s *peer.State) {
+func (p *peers) MergeState(from string, asked time.Time, s *peer.State) {
 	v := p.instance.view
 	v.LearnEvacuations(view.Evacuations(s.Evacuations), from)
 	v.Learn(view.Configuration{Revision: s.Revision, Content: s.Content}, asked.Add(-s.Age), from)
@@ -77,8 +77,8 @@
 		Version:  s.ListVersion,
 		AsOf:     asked.Add(-s.ListAge),
 		Since:    s.ListSince,
-		Parts:    s.ListParts,
-		Vanished: s.Vanished,
+		Parts:    s.ListChunks,
+		Vanished: s.Removed,
 		Missing:  s.Missing,
 		Digest:   s.ListDigest,
 	}
@@ -92,7 +92,7 @@
 	p.instance.fleet.LearnLeaving(from, s.Leaving)
 	p.instance.fleet.LearnLimits(from, s.Limits)
 	if !alike {
-		p.instance.mesh.FetchSoon(from)
+		p.instance.mesh.ScheduleFetch(from)
 	}
 }
 
@@ -101,24 +101,24 @@
 	i := p.instance
 	load := i.fleet.Load()
 	return &peer.Heartbeat{
-		Revision:      i.view.Revision(),
-		ConfigVersion: i.view.Version(),
-		ListVersion:   i.view.ListVersion(),
-		Draining:      i.ready.draining.Load(),
-		InFlight:      i.proxy.InFlight(),
-		Running:       load.Running,
-		Leaving:       i.fleet.SaidLeaving(),
-		Limits:        i.fleet.TellLimits(),
-		Reads:         i.reading.active(),
-		Known:         i.mesh.Known(),
-		SteadyMS:      int(min(i.view.SteadyFor(), maxSteady).Milliseconds()),
-		Evacuations:   peer.Evacuations(i.view.Evacuated()),
-		Quarantine:    i.quarantine.Tell(time.Now()),
+		Revision:          i.view.Revision(),
+		ConfigVersion:     i.view.Version(),
+		ListVersion:       i.view.ListVersion(),
+		Draining:          i.ready.draining.Load(),
+		InFlight:          i.proxy.InFlight(),
+		Running:           load.Running,
+		Leaving:           i.fleet.SaidLeaving(),
+		Limits:            i.fleet.TellLimits(),
+		ReadsSource:       i.reading.active(),
+		KnownPeers:        i.mesh.PeerCount(),
+		SourceReachableMS: int(min(i.view.SteadyFor(), maxSteady).Milliseconds()),
+		Evacuations:       peer.Evacuations(i.view.Evacuated()),
+		Quarantine:        i.quarantine.Tell(time.Now()),
 	}
 }
 
-// Heard implements peer.Handler.
-func (p *peers) Heard(from string, h *peer.Heartbeat) {
+// HandleHeartbeat implements peer.Handler.
+func (p *peers) HandleHeartbeat(from string, h *peer.Heartbeat) {
 	i := p.instance
 	if !h.Brief {
 		i.fleet.SetOthers(from, scheduler.Load{Running: h.Running})
@@ -129,8 +129,8 @@
 	if i.fleet.LearnLeaving(from, h.Leaving) || crashes || limits {
 		i.passOn()
 	}
-	if h.SteadyMS > 0 {
-		i.view.SourceWasThere(time.Duration(h.SteadyMS)*time.Millisecond, from)
+	if h.SourceReachableMS > 0 {
+		i.view.SourceWasThere(time.Duration(h.SourceReachableMS)*time.Millisecond, from)
 	}
 	if i.isBehind(h) {
 		i.catchUp(from, h)
@@ -153,18 +153,18 @@
 // waits for nobody.
 func (i *Instance) catchUp(from string, h *peer.Heartbeat) {
 	if i.mesh.Zone(from) == i.settings.Zone || i.view.Revision() == 0 {
-		i.mesh.FetchSoon(from)
+		i.mesh.ScheduleFetch(from)
 		return
 	}
 	time.AfterFunc(farPatience, func() {
 		if i.isBehind(h) {
-			i.mesh.FetchSoon(from)
+			i.mesh.ScheduleFetch(from)
 		}
 	})
 }
 
-// Pressure implements peer.Handler. It isn't used between instances of this kind.
-func (p *peers) Pressure(peer.Pressure) {}
+// HandlePressure implements peer.Handler. It isn't used between instances of this kind.
+func (p *peers) HandlePressure(peer.Pressure) {}
 
 // ServeSlot implements peer.Handler.
 func (p *peers) ServeSlot(ctx context.Context, r *peer.SlotRequest, s *peer.SlotStream) {
@@ -174,8 +174,8 @@
 // ServeQuota implements peer.Handler.
 func (p *peers) ServeQuota(r *peer.QuotaRequest) *peer.QuotaReply { return p.instance.quotas.Serve(r) }
 
-// QuotaReturned implements peer.Handler.
-func (p *peers) QuotaReturned(r *peer.QuotaReturn) { p.instance.quotas.Returned(r) }
+// HandleQuotaReturn implements peer.Handler.
+func (p *peers) HandleQuotaReturn(r *peer.QuotaReturn) { p.instance.quotas.Returned(r) }
 
 // loadHold is how long the load of a peer whose link has ended still counts: until the
 // others have told what they run by its grants, which they do each instancesInterval. What
@@ -183,8 +183,8 @@
 // full while 95 requests ran.
 const loadHold = instancesInterval + 50*time.Millisecond
 
-// Unlinked implements peer.Handler.
-func (p *peers) Unlinked(address string) {
+// LinkLost implements peer.Handler.
+func (p *peers) LinkLost(address string) {
 	i := p.instance
 	time.AfterFunc(loadHold, func() {
 		if !i.mesh.IsLinked(address) {
@@ -193,11 +193,11 @@
 	})
 }
 
-// Silent implements peer.Handler. Its load is forgotten as its link ends.
-func (p *peers) Silent(address string) {
+// PeerLost implements peer.Handler. Its load is forgotten as its link ends.
+func (p *peers) PeerLost(address string) {
 	i := p.instance
 	i.log.Warn().Str("event", "peer_lost").Str("peer", address).Msg("")
-	p.Unlinked(address)
+	p.LinkLost(address)
 }
 
 func join(list []string) string { return strings.Join(list, ",") }
--- a/internal/entry/places.go
+++ b/internal/entry/places.go
@@ -10,12 +10,12 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// PlacesPath is where the metrics listener says what is known of availability zones and of cold
+// ZoneReportPath is where the metrics listener says what is known of availability zones and of cold
 // upstreams, as JSON of type Places.
-const PlacesPath = "/places"
+const ZoneReportPath = "/places"
 
-// Places is what one instance knows of availability zones and of cold upstreams.
-type Places struct {
+// ZoneReport is what one instance knows of availability zones and of cold upstreams.
+type ZoneReport struct {
 	Instance string `json:"instance"`
 	// Version is the revision of the source up to which evacuations are known; 0 where they
 	// aren't.
@@ -23,8 +23,8 @@
 	Zones   []Zone `json:"zones"`
 	// Cold upstreams by what their entries say.
 	Cold []ColdUpstream `json:"cold"`
-	// HeldStarts is how often waiting work was held back here by the limits of starts alone.
-	HeldStarts int64 `json:"heldStarts"`
+	// LimitedGrants is how often waiting work was held back here by the limits of starts alone.
+	LimitedGrants int64 `json:"heldStarts"`
 }
 
 // Zone is one availability zone.
@@ -42,18 +42,18 @@
 type ColdUpstream struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
-	// LeftMS is how many milliseconds longer.
-	LeftMS int64 `json:"leftMS"`
+	// RemainingMS is how many milliseconds longer.
+	RemainingMS int64 `json:"leftMS"`
 }
 
 // places tells what is known now.
-func (i *Instance) places() Places {
+func (i *Instance) places() ZoneReport {
 	evacuated := i.view.Evacuated()
 	list := i.view.List().Upstreams
-	out := Places{Instance: i.address, Version: evacuated.Version, Zones: i.zones(evacuated.Zones, list), HeldStarts: i.fleet.HeldStarts()}
+	out := ZoneReport{Instance: i.address, Version: evacuated.Version, Zones: i.zones(evacuated.Zones, list), LimitedGrants: i.fleet.HeldStarts()}
 	for _, u := range list {
 		if u.Cold > 0 {
-			out.Cold = append(out.Cold, ColdUpstream{ID: u.ID, Zone: u.Zone, LeftMS: u.Cold.Milliseconds()})
+			out.Cold = append(out.Cold, ColdUpstream{ID: u.ID, Zone: u.Zone, RemainingMS: u.Cold.Milliseconds()})
 		}
 	}
 	return out
--- a/internal/entry/reading.go
+++ b/internal/entry/reading.go
@@ -94,22 +94,22 @@
 // leaves it to the seeds.
 func (r *reading) due(now time.Time, age time.Duration, role peer.Role) bool {
 	r.mu.Lock()
-	alarmed := role.Rank < r.alarmsFor(now)
+	alarmed := role.ZoneRank < r.alarmsFor(now)
 	r.mu.Unlock()
 	switch {
 	case alarmed:
 		return true
 	case age < findFor:
-		return role.Seed || role.Alone
+		return role.Seed || role.NoOtherSeed
 	default:
-		return role.Hub >= 0 && role.Hub < readersPerZone
+		return role.HubRank >= 0 && role.HubRank < readersPerZone
 	}
 }
 
 // reader returns a peer of the zone that is linked to and reads, or "".
 func reader(zone string, peers []peer.Status) string {
 	for _, p := range peers {
-		if p.Linked && p.Reads && p.Zone == zone {
+		if p.Linked && p.ReadsSource && p.Zone == zone {
 			return p.Address
 		}
 	}
@@ -166,7 +166,7 @@
 		}
 		near := reader(i.settings.Zone, i.mesh.Peers())
 		if near != "" && old == ageing {
-			i.mesh.FetchSoon(near)
+			i.mesh.ScheduleFetch(near)
 			continue
 		}
 		if old == tooOld {
--- a/internal/entry/reading_test.go
+++ b/internal/entry/reading_test.go
@@ -16,15 +16,15 @@
 		role peer.Role
 		want bool
 	}{
-		"first":                     {findFor, peer.Role{Hub: 0}, true},
-		"second":                    {findFor, peer.Role{Hub: 1}, true},
-		"third":                     {findFor, peer.Role{Hub: 2}, false},
-		"none":                      {findFor, peer.Role{Hub: -1}, false},
-		"a seed that is none":       {findFor, peer.Role{Hub: -1, Seed: true}, false},
-		"first, just started":       {findFor - 1, peer.Role{Hub: 0}, false},
-		"alone, just started":       {0, peer.Role{Hub: 0, Alone: true}, true},
-		"a seed, just started":      {0, peer.Role{Hub: 2, Seed: true}, true},
-		"none, and it just started": {0, peer.Role{Hub: -1}, false},
+		"first":                     {findFor, peer.Role{HubRank: 0}, true},
+		"second":                    {findFor, peer.Role{HubRank: 1}, true},
+		"third":                     {findFor, peer.Role{HubRank: 2}, false},
+		"none":                      {findFor, peer.Role{HubRank: -1}, false},
+		"a seed that is none":       {findFor, peer.Role{HubRank: -1, Seed: true}, false},
+		"first, just started":       {findFor - 1, peer.Role{HubRank: 0}, false},
+		"alone, just started":       {0, peer.Role{HubRank: 0, NoOtherSeed: true}, true},
+		"a seed, just started":      {0, peer.Role{HubRank: 2, Seed: true}, true},
+		"none, and it just started": {0, peer.Role{HubRank: -1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r reading
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	var r reading
 	now := time.Now()
-	none := peer.Role{Hub: -1}
+	none := peer.Role{HubRank: -1}
 	is.True(!r.due(now, time.Minute, none))
 	r.alarm(now)
 	is.True(r.due(now.Add(alarmHold/2), time.Minute, none))
@@ -51,7 +51,7 @@
 	var r reading
 	start := time.Now()
 	reads := func(at time.Duration, rank int) bool {
-		return r.due(start.Add(at), time.Minute, peer.Role{Hub: -1, Rank: rank})
+		return r.due(start.Add(at), time.Minute, peer.Role{HubRank: -1, ZoneRank: rank})
 	}
 	for at := time.Duration(0); at <= 2*widenAlarm; at += askInterval {
 		r.alarm(start.Add(at))
@@ -75,13 +75,13 @@
 
 func TestTheReaderOfTheZoneIsAsked(t *testing.T) {
 	is := is.New(t)
-	far := peer.Status{Address: "10.0.0.1:1", Zone: "merkato", Linked: true, Reads: true}
+	far := peer.Status{Address: "10.0.0.1:1", Zone: "merkato", Linked: true, ReadsSource: true}
 	near := peer.Status{Address: "10.0.0.2:1", Zone: "bole", Linked: true}
-	lost := peer.Status{Address: "10.0.0.3:1", Zone: "bole", Reachable: true, Reads: true} // it has no link any more
+	lost := peer.Status{Address: "10.0.0.3:1", Zone: "bole", Reachable: true, ReadsSource: true} // it has no link any more
 	is.Equal(reader("bole", []peer.Status{near, lost}), "")
 	is.Equal(reader("bole", []peer.Status{far, near, lost}), "")
-	near.Reads = true
+	near.ReadsSource = true
 	is.Equal(reader("bole", []peer.Status{far, near, lost}), "10.0.0.2:1")
-	near.Reads = false
+	near.ReadsSource = false
 	is.Equal(reader("bole", []peer.Status{far, near, lost}), "")
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -111,7 +111,7 @@
 	mesh.Handle(peer.Path, i.mesh)
 	metrics := http.NewServeMux()
 	metrics.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { i.metrics.Write(w) })
-	metrics.HandleFunc("GET "+PlacesPath, i.servePlaces)
+	metrics.HandleFunc("GET "+ZoneReportPath, i.servePlaces)
 	s := &servers{callers: i.start(l.callers, i.proxy, l.callers.State)}
 	s.others = []*http.Server{i.start(l.ready, &i.ready, nil), i.start(l.peers, mesh, nil), i.start(l.metrics, metrics, nil)}
 	return s
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -356,7 +356,7 @@
 func TestGrantsTellWhatOwnersHaveLearnedOfSpeeds(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf("10.0.0.1:1", instances(3))
-	f.UseSlots(grantingSlots{peer.SlotGrant{Upstream: "i-7", Prefill: 56_000, Interval: 4400}})
+	f.UseSlots(grantingSlots{peer.SlotGrant{Upstream: "i-7", PrefillRate: 56_000, IntervalMicros: 4400}})
 	l, problem := f.Acquire(t.Context(), generation())
 	is.True(problem == nil)
 	is.Equal(l.Upstream(), "i-7")
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -119,12 +119,12 @@
 func (l *peerLease) Owner() string            { return l.owner }
 func (l *peerLease) ListVersion() int64       { return l.grant.ListVersion }
 func (l *peerLease) Limited() bool            { return l.grant.Limited }
-func (l *peerLease) Predicted() time.Duration { return l.grant.Predicted }
+func (l *peerLease) Predicted() time.Duration { return l.grant.PredictedFirstToken }
 func (l *peerLease) FirstToken()              { l.slot.Started() }
 func (l *peerLease) Heard()                   {} // the owner hears of first tokens and endings
 func (l *peerLease) End(e scheduler.Ending, output int) {
 	l.all.remove(l)
-	l.slot.Release(peer.SlotRelease{Ending: uint8(e), Output: output})
+	l.slot.Release(peer.SlotRelease{Result: uint8(e), Output: output})
 }
 
 // leases are those that owners granted to this instance. Safe for concurrent use.
--- a/internal/fleet/repeats_test.go
+++ b/internal/fleet/repeats_test.go
@@ -32,12 +32,12 @@
 					<-time.After(time.Second)
 					for i := range 10 * failing {
 						shard := s.fleet.all()[i%len(s.fleet.all())]
-						is.True(charge(shard.repeats, peer.AskFirst) == nil)
+						is.True(charge(shard.repeats, peer.FirstAttempt) == nil)
 						if i%failing > 0 {
 							continue
 						}
 						asked++
-						if charge(shard.repeats, peer.AskRepeat) == nil {
+						if charge(shard.repeats, peer.RetryAttempt) == nil {
 							repeated++
 						}
 					}
@@ -57,7 +57,7 @@
 		s.fleet.shareRepeats(s.fleet.services["s"])
 		repeat := func() (Lease, *api.Problem) {
 			w := generation()
-			w.Ask = peer.AskRepeat
+			w.Ask = peer.RetryAttempt
 			w.Request.Patience = time.Nanosecond
 			return s.fleet.Acquire(t.Context(), w)
 		}
--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -32,7 +32,7 @@
 	Service string
 	Request *scheduler.Request
 	Parts   []prefix.Part // of its prompt, in order
-	Ask     peer.Ask
+	Ask     peer.AttemptKind
 }
 
 // Acquire blocks until the request gets a slot, is refused, or ctx ends.
@@ -73,19 +73,19 @@
 }
 
 // charge takes what an attempt costs of a budget of repeats, or adds what it earns.
-func charge(repeats *retrybudget.Budget, ask peer.Ask) *api.Problem {
+func charge(repeats *retrybudget.Budget, ask peer.AttemptKind) *api.Problem {
 	switch {
-	case ask == peer.AskFirst:
+	case ask == peer.FirstAttempt:
 		repeats.Deposit()
-	case ask == peer.AskRepeat && !repeats.Withdraw():
+	case ask == peer.RetryAttempt && !repeats.Withdraw():
 		return api.Refuse(api.ReasonRetryBudget, "as many requests are sent again to the service as may be; come back after the time given").WithRetryAfter(ComeBackSoon)
 	}
 	return nil
 }
 
 // refund gives back what was paid for an attempt that isn't made.
-func refund(repeats *retrybudget.Budget, ask peer.Ask) {
-	if ask == peer.AskRepeat {
+func refund(repeats *retrybudget.Budget, ask peer.AttemptKind) {
+	if ask == peer.RetryAttempt {
 		repeats.Return()
 	}
 }
@@ -147,36 +147,36 @@
 
 // ratesOf is what a grant tells of its upstream's speed.
 func ratesOf(g peer.SlotGrant) estimate.Rates {
-	return estimate.Rates{Prefill: float64(g.Prefill), Interval: time.Duration(g.Interval) * time.Microsecond}
+	return estimate.Rates{Prefill: float64(g.PrefillRate), Interval: time.Duration(g.IntervalMicros) * time.Microsecond}
 }
 
 func (f *Fleet) slotRequest(now time.Time, s *shard, w *Want) *peer.SlotRequest {
 	r := w.Request
 	out := &peer.SlotRequest{
-		Service:      s.service,
-		Shard:        s.index,
-		ID:           w.ID,
-		Digest:       w.Key.Digest,
-		Rank:         r.Rank,
-		Organisation: r.Organisation,
-		Age:          now.Sub(r.Arrived),
-		Timeout:      r.Deadline.Sub(now),
-		Patience:     r.Patience,
-		Aim:          r.Aim,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Expected:     r.Expected,
-		Bytes:        r.Bytes,
-		Exclude:      r.Exclude,
-		Without:      r.Without,
-		Ask:          w.Ask,
-		Limits:       f.limitsToTell(s.service),
-		Zone:         f.o.Zone,
-		Bound:        r.Homes.Bound,
-		Regions:      r.Homes.Regions,
+		Service:          s.service,
+		Shard:            s.index,
+		ID:               w.ID,
+		Digest:           w.Key.Digest,
+		Rank:             r.Rank,
+		Organisation:     r.Organisation,
+		Age:              now.Sub(r.Arrived),
+		Timeout:          r.Deadline.Sub(now),
+		MaxWait:          r.Patience,
+		LatencyObjective: r.Aim,
+		PromptTokens:     r.Prompt,
+		MaxOutput:        r.Output,
+		ExpectedOutput:   r.Expected,
+		Bytes:            r.Bytes,
+		Exclude:          r.Exclude,
+		Unavailable:      r.Without,
+		Attempt:          w.Ask,
+		Limits:           f.limitsToTell(s.service),
+		Zone:             f.o.Zone,
+		Restricted:       r.Homes.Bound,
+		Regions:          r.Homes.Regions,
 	}
 	for _, p := range w.Parts {
-		out.Parts = append(out.Parts, peer.PromptPart{Sum: p.Sum, Tokens: p.Tokens})
+		out.Segments = append(out.Segments, peer.PromptSegment{PrefixHash: p.Sum, Tokens: p.Tokens})
 	}
 	return out
 }
@@ -184,8 +184,8 @@
 // requestOf turns a peer's request into the scheduler's.
 func requestOf(now time.Time, r *peer.SlotRequest) *scheduler.Request {
 	var parts []prefix.Part
-	for _, p := range r.Parts {
-		parts = append(parts, prefix.Part{Sum: p.Sum, Tokens: p.Tokens})
+	for _, p := range r.Segments {
+		parts = append(parts, prefix.Part{Sum: p.PrefixHash, Tokens: p.Tokens})
 	}
 	return &scheduler.Request{
 		Rank:         r.Rank,
@@ -193,18 +193,18 @@
 		Share:        1,
 		Arrived:      now.Add(-r.Age),
 		Deadline:     now.Add(r.Timeout),
-		Patience:     r.Patience,
-		Aim:          r.Aim,
+		Patience:     r.MaxWait,
+		Aim:          r.LatencyObjective,
 		LateIsWorth:  true,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Expected:     r.Expected,
+		Prompt:       r.PromptTokens,
+		Output:       r.MaxOutput,
+		Expected:     r.ExpectedOutput,
 		Chain:        prefix.ChainOf(parts),
 		Bytes:        r.Bytes,
 		Exclude:      r.Exclude,
-		Without:      r.Without,
+		Without:      r.Unavailable,
 		Zone:         r.Zone,
-		Homes:        scheduler.Homes{Bound: r.Bound, Regions: r.Regions},
+		Homes:        scheduler.Homes{Bound: r.Restricted, Regions: r.Regions},
 	}
 }
 
@@ -218,14 +218,14 @@
 func (f *Fleet) ServeSlot(ctx context.Context, r *peer.SlotRequest, s *peer.SlotStream) {
 	if left := f.o.Quarantine.Held(time.Now(), quarantine.Key{Organisation: r.Organisation, Digest: r.Digest}); left > 0 {
 		p := quarantine.Refusal(left) // the peer hasn't heard of it yet
-		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
+		err := s.SendRefusal(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
 	f.LearnLimits(s.Peer, r.Limits)
 	shard := f.shardAt(r.Service, r.Shard)
-	if p := charge(shard.repeats, r.Ask); p != nil {
-		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
+	if p := charge(shard.repeats, r.Attempt); p != nil {
+		err := s.SendRefusal(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
@@ -234,13 +234,13 @@
 	waiting := shard.pool.Submit(request)
 	turn, decided := waiting.Decided()
 	if !decided {
-		s.Queued()
+		s.SendQueued()
 		turn = waiting.Wait(ctx)
 	}
 	if turn.Problem != nil {
-		refund(shard.repeats, r.Ask)
+		refund(shard.repeats, r.Attempt)
 		p := turn.Problem
-		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
+		err := s.SendRefusal(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
@@ -250,14 +250,14 @@
 
 // serveGrant tells the peer its slot and returns how the request ended.
 func (f *Fleet) serveGrant(ctx context.Context, sh *shard, r *peer.SlotRequest, s *peer.SlotStream, g *scheduler.Grant) (scheduler.Ending, int) {
-	err := s.Granted(ctx, peer.SlotGrant{
-		Upstream:    g.Upstream.ID,
-		Predicted:   g.Predicted(),
-		Running:     g.Running,
-		Limited:     g.Limited,
-		ListVersion: f.listVersion(),
-		Prefill:     int(g.Rates.Prefill),
-		Interval:    int(g.Rates.Interval.Microseconds()),
+	err := s.SendGrant(ctx, peer.SlotGrant{
+		Upstream:            g.Upstream.ID,
+		PredictedFirstToken: g.Predicted(),
+		Running:             g.Running,
+		Limited:             g.Limited,
+		ListVersion:         f.listVersion(),
+		PrefillRate:         int(g.Rates.Prefill),
+		IntervalMicros:      int(g.Rates.Interval.Microseconds()),
 	})
 	f.logSlot(r, s.Peer, "granted", g.Upstream.ID, err)
 	for err == nil {
@@ -267,8 +267,8 @@
 		case err != nil:
 		case release == nil:
 			sh.pool.FirstToken(g)
-		case scheduler.Ending(release.Ending).IsKnown():
-			return scheduler.Ending(release.Ending), release.Output
+		case scheduler.Ending(release.Result).IsKnown():
+			return scheduler.Ending(release.Result), release.Output
 		default:
 			return scheduler.Cancelled, 0 // a peer of a newer version
 		}
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -30,8 +30,8 @@
 	// DeadAfter is the time within which a dead connection ends with an error: a dialled
 	// one, and an accepted one on which nothing was sent. One on which something was sent
 	// ends within UnreadAfter.
-	DeadAfter   = idle + probes*interval
-	UnreadAfter = unread
+	DeadAfter         = idle + probes*interval
+	AcceptedDeadAfter = unread
 	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT, in milliseconds.
 	tcpUserTimeout = 0x12
 )
--- a/internal/peer/fetch.go
+++ b/internal/peer/fetch.go
@@ -15,9 +15,9 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, fetchTimeout, ErrNoReply)
 	defer cancel()
 	asked := boottime.Now()
-	return m.ask(ctx, address, &Frame{Type: TypeFetch, Fetch: m.o.Handler.Fetch()}, func(f *Frame) {
+	return m.ask(ctx, address, &Frame{Type: TypeFetch, Fetch: m.o.Handler.FetchRequest()}, func(f *Frame) {
 		if f.State != nil {
-			m.o.Handler.Learn(address, asked, f.State)
+			m.o.Handler.MergeState(address, asked, f.State)
 		}
 	})
 }
@@ -76,9 +76,9 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	slices.SortStableFunc(peers, func(a, b Status) int {
 		switch {
-		case a.Reads == b.Reads:
+		case a.ReadsSource == b.ReadsSource:
 			return 0
-		case a.Reads:
+		case a.ReadsSource:
 			return -1
 		default:
 			return 1
@@ -87,9 +87,9 @@
 	return peers[:mostAsked]
 }
 
-// FetchSoon fetches a peer's state in the background, once a fetch that has just begun has
+// ScheduleFetch fetches a peer's state in the background, once a fetch that has just begun has
 // ended or is slow. Of several that wait for that, the last is made: all tell of what is newest.
-func (m *Mesh) FetchSoon(address string) {
+func (m *Mesh) ScheduleFetch(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ctx.Err() != nil {
@@ -129,6 +129,6 @@
 	m.fetchNext = ""
 	m.mu.Unlock()
 	if address != "" {
-		m.FetchSoon(address)
+		m.ScheduleFetch(address)
 	}
 }
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -88,9 +88,9 @@
 	return a.buffer.Write(ctx, data[n:])
 }
 
-// Press tells every peer of the zone within reach that work is about to be shed
+// SendPressure tells every peer of the zone within reach that work is about to be shed
 // for lack of capacity, and waits until each holds no lower work, or ctx ends.
-func (m *Mesh) Press(ctx context.Context, p Pressure) {
+func (m *Mesh) SendPressure(ctx context.Context, p Pressure) {
 	var all sync.WaitGroup
 	for _, peer := range m.Peers() {
 		if peer.Reachable && peer.Zone == m.o.Zone {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -98,7 +98,7 @@
 	Credit    int              `cbor:"10,keyasint,omitempty"`
 	State     *State           `cbor:"11,keyasint,omitempty"`
 	Pressure  *Pressure        `cbor:"12,keyasint,omitempty"`
-	Fetch     *Fetch           `cbor:"13,keyasint,omitempty"`
+	Fetch     *FetchRequest    `cbor:"13,keyasint,omitempty"`
 
 	SlotRequest *SlotRequest `cbor:"14,keyasint,omitempty"`
 	SlotGrant   *SlotGrant   `cbor:"15,keyasint,omitempty"`
@@ -119,13 +119,13 @@
 	Incarnation uint64 `cbor:"3,keyasint"`
 	// Cores is the processor time that the instance has, in cores; 0 is unknown.
 	Cores float64 `cbor:"4,keyasint,omitempty"`
-	// Known is the number of peers that it knows. One that knows few is told of others.
-	Known int `cbor:"5,keyasint,omitempty"`
+	// KnownPeers is the number of peers that it knows. One that knows few is told of others.
+	KnownPeers int `cbor:"5,keyasint,omitempty"`
 	// Age is the time since it started.
 	Age time.Duration `cbor:"6,keyasint,omitempty"`
-	// Dialled is the address under which the peer was dialled; empty from the side that
+	// DialledAddress is the address under which the peer was dialled; empty from the side that
 	// was.
-	Dialled string `cbor:"7,keyasint,omitempty"`
+	DialledAddress string `cbor:"7,keyasint,omitempty"`
 }
 
 // Heartbeat tells the peers what they need to know of an instance.
@@ -148,15 +148,15 @@
 	Demand map[string]float64 `cbor:"8,keyasint,omitempty"`
 	// Running requests by upstream: sent and not ended.
 	Running map[string]int `cbor:"9,keyasint,omitempty"`
-	// Known is the number of peers that the sender knows.
-	Known int `cbor:"10,keyasint,omitempty"`
-	// Reads tells that the sender reads the source itself.
-	Reads bool `cbor:"12,keyasint,omitempty"`
+	// KnownPeers is the number of peers that the sender knows.
+	KnownPeers int `cbor:"10,keyasint,omitempty"`
+	// ReadsSource tells that the sender reads the source itself.
+	ReadsSource bool `cbor:"12,keyasint,omitempty"`
 	// Brief heartbeats leave out what is told of load and organisations.
 	Brief bool `cbor:"13,keyasint,omitempty"`
-	// SteadyMS is for how many milliseconds the sender, or a peer of it, has reached the
+	// SourceReachableMS is for how many milliseconds the sender, or a peer of it, has reached the
 	// source all the time; a minute at most.
-	SteadyMS int `cbor:"14,keyasint,omitempty"`
+	SourceReachableMS int `cbor:"14,keyasint,omitempty"`
 	// Evacuations are in whole, so that news of them needs no fetch: they are few and short.
 	Evacuations Evacuations `cbor:"15,keyasint,omitzero"`
 	// Quarantine is what is new of crashes and the requests that cause them.
@@ -182,33 +182,33 @@
 // heartbeats.
 func (h *Heartbeat) brief() *Heartbeat {
 	return &Heartbeat{
-		Revision:      h.Revision,
-		ConfigVersion: h.ConfigVersion,
-		ListVersion:   h.ListVersion,
-		Draining:      h.Draining,
-		InFlight:      h.InFlight,
-		Known:         h.Known,
-		Reads:         h.Reads,
-		SteadyMS:      h.SteadyMS,
-		Evacuations:   h.Evacuations,
-		Quarantine:    h.Quarantine,
-		Leaving:       h.Leaving,
-		Limits:        h.Limits,
-		Brief:         true,
+		Revision:          h.Revision,
+		ConfigVersion:     h.ConfigVersion,
+		ListVersion:       h.ListVersion,
+		Draining:          h.Draining,
+		InFlight:          h.InFlight,
+		KnownPeers:        h.KnownPeers,
+		ReadsSource:       h.ReadsSource,
+		SourceReachableMS: h.SourceReachableMS,
+		Evacuations:       h.Evacuations,
+		Quarantine:        h.Quarantine,
+		Leaving:           h.Leaving,
+		Limits:            h.Limits,
+		Brief:             true,
 	}
 }
 
-// Fetch asks for the state.
-type Fetch struct {
+// FetchRequest asks for the state.
+type FetchRequest struct {
 	// Parts of the configuration that the asking instance has, by their sums.
 	Parts []string `cbor:"1,keyasint,omitempty"`
 	// Revision and ListVersion that it has; they needn't be handed over again.
 	Revision    int64 `cbor:"2,keyasint,omitempty"`
 	ListVersion int64 `cbor:"3,keyasint,omitempty"`
-	// Changes tells that it takes what has changed of the list of upstreams since that version.
-	Changes bool `cbor:"4,keyasint,omitempty"`
-	// Sums of the parts of its list, to get those that differ from the peer's.
-	Sums []uint64 `cbor:"5,keyasint,omitempty"`
+	// AcceptsDelta tells that it takes what has changed of the list of upstreams since that version.
+	AcceptsDelta bool `cbor:"4,keyasint,omitempty"`
+	// ListChecksums of the parts of its list, to get those that differ from the peer's.
+	ListChecksums []uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // State is what one instance hands over to another.
@@ -235,10 +235,10 @@
 	Evacuations Evacuations `cbor:"9,keyasint,omitzero"`
 	// ListSince is the version since which List and Vanished are what has changed of the list of
 	// upstreams; 0 where List is the whole of it, or of ListParts.
-	ListSince int64 `cbor:"10,keyasint,omitempty"`
-	ListParts []int `cbor:"11,keyasint,omitempty"`
-	// Vanished are the IDs of upstreams that have left the list since.
-	Vanished []string `cbor:"12,keyasint,omitempty"`
+	ListSince  int64 `cbor:"10,keyasint,omitempty"`
+	ListChunks []int `cbor:"11,keyasint,omitempty"`
+	// Removed are the IDs of upstreams that have left the list since.
+	Removed []string `cbor:"12,keyasint,omitempty"`
 	// Leaving are the processes of upstreams that have said themselves that they leave.
 	Leaving []string `cbor:"14,keyasint,omitempty"`
 	// Limits that upstreams have named.
@@ -354,7 +354,7 @@
 
 func (r *SlotRequest) isSane() bool {
 	return r.Service != "" && r.Shard >= 0 && r.Rank >= 0 && r.Age >= 0 && r.Age < maxRemaining &&
-		r.Timeout < maxRemaining && r.Prompt >= 0 && r.Output >= 0 && r.Expected >= 0 && r.Bytes >= 0
+		r.Timeout < maxRemaining && r.PromptTokens >= 0 && r.MaxOutput >= 0 && r.ExpectedOutput >= 0 && r.Bytes >= 0
 }
 
 // maxRemaining bounds the time left that a request may name.
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -20,7 +20,7 @@
 		}
 	}
 	m.mu.Unlock()
-	m.o.Handler.Heard(from, h)
+	m.o.Handler.HandleHeartbeat(from, h)
 }
 
 // beat sends heartbeats until the mesh is closed.
@@ -31,7 +31,7 @@
 		select {
 		case <-t.C:
 			m.closeSilent()
-			m.announce(n%max(m.o.FarEvery, 1) == 0)
+			m.announce(n%max(m.o.CrossZoneEvery, 1) == 0)
 		case <-m.ctx.Done():
 			return
 		}
@@ -42,7 +42,7 @@
 // waits on them is told.
 func (m *Mesh) closeSilent() {
 	for _, address := range m.dropSilent() {
-		m.o.Handler.Silent(address)
+		m.o.Handler.PeerLost(address)
 	}
 }
 
@@ -77,8 +77,8 @@
 	return news
 }
 
-// Tell sends a whole heartbeat to one peer now, if it is within reach.
-func (m *Mesh) Tell(address string) {
+// SendHeartbeat sends a whole heartbeat to one peer now, if it is within reach.
+func (m *Mesh) SendHeartbeat(address string) {
 	if l, _ := m.useLink(address); l != nil {
 		l.trySend(&Frame{Type: TypeHeartbeat, Heartbeat: m.o.Handler.Heartbeat()}) // or the next one says it
 	}
@@ -86,7 +86,7 @@
 
 // Announce sends a heartbeat to every linked peer now; a brief one to those of other
 // availability zones, unless they are always sent whole ones.
-func (m *Mesh) Announce() { m.announce(m.o.FarEvery <= 1) }
+func (m *Mesh) Announce() { m.announce(m.o.CrossZoneEvery <= 1) }
 
 // announce sends a heartbeat, to far peers a whole one if whole is set.
 func (m *Mesh) announce(whole bool) {
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -1,7 +1,7 @@
 package peer
 
-// Known returns the number of peers that this instance knows.
-func (m *Mesh) Known() int {
+// PeerCount returns the number of peers that this instance knows.
+func (m *Mesh) PeerCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.known()
@@ -26,7 +26,7 @@
 	size := 0
 	for _, p := range m.peers {
 		if !p.lastHeard.IsZero() {
-			size = max(size, m.known()+1, p.hello.Known+1, p.last.Known+1)
+			size = max(size, m.known()+1, p.hello.KnownPeers+1, p.last.KnownPeers+1)
 		}
 	}
 	return size
--- a/internal/peer/members_test.go
+++ b/internal/peer/members_test.go
@@ -16,7 +16,7 @@
 	whole, brief atomic.Int32
 }
 
-func (c *counting) Heard(_ string, h *Heartbeat) {
+func (c *counting) HandleHeartbeat(_ string, h *Heartbeat) {
 	if h.Brief {
 		c.brief.Add(1)
 	} else {
@@ -35,7 +35,7 @@
 	server.Config.Handler = m
 	server.Start()
 	t.Cleanup(func() { m.Close(); server.CloseClientConnections(); server.Close() })
-	own := NewMesh(Options{Address: "127.0.0.1:1", Zone: "bole", Heartbeat: time.Hour, SuspectAfter: time.Hour, FarEvery: 2, Handler: &handler{}, Log: quiet})
+	own := NewMesh(Options{Address: "127.0.0.1:1", Zone: "bole", Heartbeat: time.Hour, SuspectAfter: time.Hour, CrossZoneEvery: 2, Handler: &handler{}, Log: quiet})
 	t.Cleanup(own.Close)
 	own.SetPeers([]string{address})
 	eventually(t, func() bool { return own.linkTo(address) != nil && far.whole.Load() == 1 }) // the first one is whole
@@ -82,8 +82,8 @@
 	is.Equal(m.FleetSize(), 1) // alone
 	m.SetPeers([]string{"127.0.0.1:2", "127.0.0.1:3"})
 	is.Equal(m.FleetSize(), 0) // nobody has said anything
-	m.heard(Hello{Address: "127.0.0.1:2", Known: 80}, nil)
+	m.heard(Hello{Address: "127.0.0.1:2", KnownPeers: 80}, nil)
 	is.Equal(m.FleetSize(), 81)
-	m.heartbeat("127.0.0.1:2", &Heartbeat{Known: 86})
+	m.heartbeat("127.0.0.1:2", &Heartbeat{KnownPeers: 86})
 	is.Equal(m.FleetSize(), 87)
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -30,27 +30,27 @@
 	// Serve serves a request that a peer forwarded.
 	Serve(ctx context.Context, r *request.Request) *answer.Buffer
 	// State returns what is handed over to a peer, by what it says that it has.
-	State(f *Fetch) *State
-	// Fetch returns what to say of the state at hand when a peer is asked for its own.
-	Fetch() *Fetch
-	// Learn takes over what a peer handed over when it was asked at a time.
-	Learn(from string, asked time.Time, s *State)
+	State(f *FetchRequest) *State
+	// FetchRequest returns what to say of the state at hand when a peer is asked for its own.
+	FetchRequest() *FetchRequest
+	// MergeState takes over what a peer handed over when it was asked at a time.
+	MergeState(from string, asked time.Time, s *State)
 	// Heartbeat returns what to tell the peers now.
 	Heartbeat() *Heartbeat
-	// Heard is called for each heartbeat of a peer.
-	Heard(from string, h *Heartbeat)
-	// Pressure is called when a peer is about to shed work for lack of capacity.
-	Pressure(p Pressure)
+	// HandleHeartbeat is called for each heartbeat of a peer.
+	HandleHeartbeat(from string, h *Heartbeat)
+	// HandlePressure is called when a peer is about to shed work for lack of capacity.
+	HandlePressure(p Pressure)
 	// ServeSlot decides on a slot that a peer asks for, and blocks until the slot is
 	// given back or ctx ends: the peer has cancelled or its link is gone.
 	ServeSlot(ctx context.Context, r *SlotRequest, s *SlotStream)
 	// ServeQuota answers a peer that asks for tokens, and QuotaReturned takes some back.
 	ServeQuota(r *QuotaRequest) *QuotaReply
-	QuotaReturned(r *QuotaReturn)
-	// Unlinked is called when the link to a peer has ended, which may come back.
-	Unlinked(address string)
-	// Silent is called once when a peer wasn't heard of for SuspectAfter.
-	Silent(address string)
+	HandleQuotaReturn(r *QuotaReturn)
+	// LinkLost is called when the link to a peer has ended, which may come back.
+	LinkLost(address string)
+	// PeerLost is called once when a peer wasn't heard of for SuspectAfter.
+	PeerLost(address string)
 }
 
 // Options of a Mesh.
@@ -63,9 +63,9 @@
 	// Cores is the processor time that this instance has, in cores; 0 is unknown.
 	Cores     float64
 	Heartbeat time.Duration
-	// FarEvery is how often peers of other availability zones are sent a whole heartbeat:
+	// CrossZoneEvery is how often peers of other availability zones are sent a whole heartbeat:
 	// one in so many. The others are brief. 0 and 1 are each time.
-	FarEvery int
+	CrossZoneEvery int
 	// SuspectAfter is the silence after which a peer isn't reachable.
 	SuspectAfter time.Duration
 	Handler      Handler
@@ -147,7 +147,7 @@
 }
 
 func (m *Mesh) hello() *Hello {
-	return &Hello{Address: m.o.Address, Zone: m.o.Zone, Incarnation: m.o.Incarnation, Cores: m.o.Cores, Known: m.Known(), Age: boottime.Since(m.started)}
+	return &Hello{Address: m.o.Address, Zone: m.o.Zone, Incarnation: m.o.Incarnation, Cores: m.o.Cores, KnownPeers: m.PeerCount(), Age: boottime.Since(m.started)}
 }
 
 // SetPeers sets the peers to be linked to. One that isn't among them any more, or
@@ -228,7 +228,7 @@
 	}
 	l := newLink(ctx, conn)
 	hello := m.hello()
-	hello.Dialled = address
+	hello.DialledAddress = address
 	if err := l.send(ctx, &Frame{Type: TypeHello, Hello: hello}); err != nil {
 		conn.CloseNow()
 		return false, err
@@ -250,7 +250,7 @@
 	if m.sparse != nil {
 		m.unlink(address)
 	}
-	m.o.Handler.Unlinked(address)
+	m.o.Handler.LinkLost(address)
 }
 
 // dialer makes links come from the IP number of the peers' listener, so that
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -53,15 +53,15 @@
 	return b
 }
 
-func (h *handler) State(*Fetch) *State                   { return &State{Revision: 7, Content: []byte("seven")} }
-func (h *handler) Fetch() *Fetch                         { return &Fetch{} }
-func (h *handler) Learn(_ string, _ time.Time, s *State) { h.learned <- s }
-func (h *handler) Heartbeat() *Heartbeat                 { return &Heartbeat{Revision: 7} }
-func (h *handler) Heard(string, *Heartbeat)              {}
-func (h *handler) Pressure(Pressure)                     {}
-func (h *handler) Silent(string)                         {}
-func (h *handler) Unlinked(string)                       {}
-func (h *handler) QuotaReturned(r *QuotaReturn)          { h.slots <- fmt.Sprint("returned ", r.Tokens) }
+func (h *handler) State(*FetchRequest) *State                 { return &State{Revision: 7, Content: []byte("seven")} }
+func (h *handler) FetchRequest() *FetchRequest                { return &FetchRequest{} }
+func (h *handler) MergeState(_ string, _ time.Time, s *State) { h.learned <- s }
+func (h *handler) Heartbeat() *Heartbeat                      { return &Heartbeat{Revision: 7} }
+func (h *handler) HandleHeartbeat(string, *Heartbeat)         {}
+func (h *handler) HandlePressure(Pressure)                    {}
+func (h *handler) PeerLost(string)                            {}
+func (h *handler) LinkLost(string)                            {}
+func (h *handler) HandleQuotaReturn(r *QuotaReturn)           { h.slots <- fmt.Sprint("returned ", r.Tokens) }
 func (h *handler) ServeQuota(r *QuotaRequest) *QuotaReply {
 	return &QuotaReply{Granted: r.Tokens < 100, Wait: time.Duration(r.Tokens)}
 }
@@ -74,13 +74,13 @@
 		h.slots <- "gone"
 		return
 	case "full":
-		_ = s.Refused(ctx, SlotRefusal{Reason: "queue_full", RetryAfter: time.Second})
+		_ = s.SendRefusal(ctx, SlotRefusal{Reason: "queue_full", RetryAfter: time.Second})
 		return
 	case "busy":
-		s.Queued()
+		s.SendQueued()
 		<-h.hold
 	}
-	if s.Granted(ctx, SlotGrant{Upstream: "u"}) != nil {
+	if s.SendGrant(ctx, SlotGrant{Upstream: "u"}) != nil {
 		return
 	}
 	for {
@@ -92,7 +92,7 @@
 		case release == nil:
 			h.slots <- "started"
 		default:
-			h.slots <- fmt.Sprint("released ", release.Ending, release.Output)
+			h.slots <- fmt.Sprint("released ", release.Result, release.Output)
 			return
 		}
 	}
@@ -230,7 +230,7 @@
 	asked chan struct{}
 }
 
-func (s *stuck) State(*Fetch) *State {
+func (s *stuck) State(*FetchRequest) *State {
 	close(s.asked)
 	<-s.hold
 	return &State{}
@@ -247,10 +247,10 @@
 	defer close(silent.hold)
 	a.SetPeers([]string{silentAt, answersAt})
 	eventually(t, func() bool { return a.linkTo(silentAt) != nil && a.linkTo(answersAt) != nil })
-	a.FetchSoon(silentAt)
+	a.ScheduleFetch(silentAt)
 	<-silent.asked
 	eventually(t, func() bool {
-		a.FetchSoon(answersAt)
+		a.ScheduleFetch(answersAt)
 		return len(h.learned) > 0
 	})
 	is.Equal((<-h.learned).Revision, int64(7))
@@ -269,9 +269,9 @@
 	_, answersAt := newMesh(t, &handler{})
 	a.SetPeers([]string{slowAt, answersAt})
 	eventually(t, func() bool { return a.linkTo(slowAt) != nil && a.linkTo(answersAt) != nil })
-	a.FetchSoon(slowAt)
+	a.ScheduleFetch(slowAt)
 	<-slow.asked
-	a.FetchSoon(answersAt)
+	a.ScheduleFetch(answersAt)
 	close(slow.hold)
 	eventually(t, func() bool { return len(h.learned) == 2 })
 	is.Equal((<-h.learned).Revision, int64(0))
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -88,7 +88,7 @@
 	switch f.Type {
 	case TypeHello:
 		s.peer = f.Hello.Address
-		if f.Hello.Dialled == s.mesh.o.Address {
+		if f.Hello.DialledAddress == s.mesh.o.Address {
 			s.mesh.noteAccepted(s.peer, s.link) // under another address it will hang up
 		}
 		s.mesh.heard(*f.Hello, nil)
@@ -99,9 +99,9 @@
 		s.link.noteAsked(boottime.Now(), 0)
 		return s.link.send(s.link.ctx, &Frame{Type: TypeQuotaReply, Stream: f.Stream, QuotaReply: s.mesh.o.Handler.ServeQuota(f.QuotaRequest)})
 	case TypeQuotaReturn:
-		s.mesh.o.Handler.QuotaReturned(f.QuotaReturn)
+		s.mesh.o.Handler.HandleQuotaReturn(f.QuotaReturn)
 	case TypePressure:
-		s.mesh.o.Handler.Pressure(*f.Pressure)
+		s.mesh.o.Handler.HandlePressure(*f.Pressure)
 		return s.link.send(s.link.ctx, &Frame{Type: TypeRelieved, Stream: f.Stream})
 	case TypeFetch:
 		return s.link.send(s.link.ctx, &Frame{Type: TypeState, Stream: f.Stream, State: s.mesh.o.Handler.State(f.Fetch)})
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -30,51 +30,51 @@
 	// Age is the time since the request arrived, Timeout what is left until its
 	// deadline, Patience how long after its arrival it waits for room, 0 without such a
 	// bound, and Aim its latency objective.
-	Age      time.Duration `cbor:"6,keyasint"`
-	Timeout  time.Duration `cbor:"7,keyasint"`
-	Patience time.Duration `cbor:"8,keyasint,omitempty"`
-	Aim      time.Duration `cbor:"9,keyasint,omitempty"`
-	// Prompt, Output and Expected are tokens; Parts are those of the prompt.
-	Prompt   int          `cbor:"10,keyasint,omitempty"`
-	Output   int          `cbor:"11,keyasint,omitempty"`
-	Expected int          `cbor:"12,keyasint,omitempty"`
-	Parts    []PromptPart `cbor:"13,keyasint,omitempty"`
+	Age              time.Duration `cbor:"6,keyasint"`
+	Timeout          time.Duration `cbor:"7,keyasint"`
+	MaxWait          time.Duration `cbor:"8,keyasint,omitempty"`
+	LatencyObjective time.Duration `cbor:"9,keyasint,omitempty"`
+	// PromptTokens, Output and Expected are tokens; Parts are those of the prompt.
+	PromptTokens   int             `cbor:"10,keyasint,omitempty"`
+	MaxOutput      int             `cbor:"11,keyasint,omitempty"`
+	ExpectedOutput int             `cbor:"12,keyasint,omitempty"`
+	Segments       []PromptSegment `cbor:"13,keyasint,omitempty"`
 	// Bytes of the body that waits.
 	Bytes int `cbor:"14,keyasint,omitempty"`
 	// Exclude is an upstream that failed the request already.
 	Exclude string `cbor:"15,keyasint,omitempty"`
 	// Zone is the availability zone that the request came to.
 	Zone string `cbor:"16,keyasint,omitempty"`
-	// Bound requests run in these Regions alone.
-	Bound   bool     `cbor:"17,keyasint,omitempty"`
-	Regions []string `cbor:"18,keyasint,omitempty"`
+	// Restricted requests run in these Regions alone.
+	Restricted bool     `cbor:"17,keyasint,omitempty"`
+	Regions    []string `cbor:"18,keyasint,omitempty"`
 	// Digest of what the request asks for, the same for each try.
 	Digest uint64 `cbor:"19,keyasint,omitempty"`
-	// Without are upstreams that the asking instance may not send to now, by their IDs.
-	Without []string `cbor:"20,keyasint,omitempty"`
-	// Ask says what the request is to the budget of repeats.
-	Ask Ask `cbor:"21,keyasint,omitempty"`
+	// Unavailable are upstreams that the asking instance may not send to now, by their IDs.
+	Unavailable []string `cbor:"20,keyasint,omitempty"`
+	// Attempt says what the request is to the budget of repeats.
+	Attempt AttemptKind `cbor:"21,keyasint,omitempty"`
 	// Limits are those that the asking instance knows of the service's upstreams: one that has just become the owner
 	// may know none.
 	Limits []ratelimit.Update `cbor:"22,keyasint,omitempty"`
 }
 
-// Ask is what a request for a slot is to the budget out of which requests are sent again.
-type Ask uint8
+// AttemptKind is what a request for a slot is to the budget out of which requests are sent again.
+type AttemptKind uint8
 
 const (
-	// AskFirst: the slot is for the first attempt of a request, which adds to the budget.
-	AskFirst Ask = iota
-	// AskAnew: it is for an attempt that was asked for before and wasn't sent.
-	AskAnew
-	// AskRepeat: the request was sent before, so that the budget must have it.
-	AskRepeat
+	// FirstAttempt: the slot is for the first attempt of a request, which adds to the budget.
+	FirstAttempt AttemptKind = iota
+	// RequeuedAttempt: it is for an attempt that was asked for before and wasn't sent.
+	RequeuedAttempt
+	// RetryAttempt: the request was sent before, so that the budget must have it.
+	RetryAttempt
 )
 
-// PromptPart is a part of a prompt that other prompts may begin with too.
-type PromptPart struct {
-	// Sum names the text up to its end.
-	Sum uint64 `cbor:"1,keyasint"`
+// PromptSegment is a part of a prompt that other prompts may begin with too.
+type PromptSegment struct {
+	// PrefixHash names the text up to its end.
+	PrefixHash uint64 `cbor:"1,keyasint"`
 	// Tokens is its own length.
 	Tokens int `cbor:"2,keyasint"`
 }
@@ -83,17 +83,17 @@
 type SlotGrant struct {
 	// Upstream by its ID.
 	Upstream string `cbor:"1,keyasint"`
-	// Predicted is the time in which the first token is expected.
-	Predicted time.Duration `cbor:"2,keyasint,omitempty"`
+	// PredictedFirstToken is the time in which the first token is expected.
+	PredictedFirstToken time.Duration `cbor:"2,keyasint,omitempty"`
 	// Running is how many requests the upstream runs, this one included.
 	Running int `cbor:"3,keyasint,omitempty"`
 	// ListVersion is the version of the list from which the upstream was chosen, for logs.
 	ListVersion int64 `cbor:"4,keyasint,omitempty"`
-	// Prefill and Interval are what the owner has learned of the upstream's speed: prompt tokens a
+	// PrefillRate and Interval are what the owner has learned of the upstream's speed: prompt tokens a
 	// second, and microseconds between output tokens; 0 is unknown. Whoever owns the shard next
 	// begins with it.
-	Prefill  int `cbor:"5,keyasint,omitempty"`
-	Interval int `cbor:"6,keyasint,omitempty"`
+	PrefillRate    int `cbor:"5,keyasint,omitempty"`
+	IntervalMicros int `cbor:"6,keyasint,omitempty"`
 	// Limited tells whether the owner knows that the upstream has named a limit.
 	Limited bool `cbor:"7,keyasint,omitempty"`
 }
@@ -107,8 +107,8 @@
 
 // SlotRelease gives a slot back and says how the request went at the upstream.
 type SlotRelease struct {
-	// Ending as the scheduler numbers them.
-	Ending uint8 `cbor:"1,keyasint"`
+	// Result as the scheduler numbers them.
+	Result uint8 `cbor:"1,keyasint"`
 	// Output tokens of a whole answer.
 	Output int `cbor:"2,keyasint,omitempty"`
 }
@@ -212,16 +212,16 @@
 	in   <-chan *Frame
 }
 
-// Queued tells the peer that the request waits.
-func (s *SlotStream) Queued() { s.link.trySend(&Frame{Type: TypeSlotQueued, Stream: s.id}) }
+// SendQueued tells the peer that the request waits.
+func (s *SlotStream) SendQueued() { s.link.trySend(&Frame{Type: TypeSlotQueued, Stream: s.id}) }
 
-// Granted tells the peer its slot.
-func (s *SlotStream) Granted(ctx context.Context, g SlotGrant) error {
+// SendGrant tells the peer its slot.
+func (s *SlotStream) SendGrant(ctx context.Context, g SlotGrant) error {
 	return s.link.send(ctx, &Frame{Type: TypeSlotGranted, Stream: s.id, SlotGrant: &g})
 }
 
-// Refused tells the peer that it gets none.
-func (s *SlotStream) Refused(ctx context.Context, r SlotRefusal) error {
+// SendRefusal tells the peer that it gets none.
+func (s *SlotStream) SendRefusal(ctx context.Context, r SlotRefusal) error {
 	return s.link.send(ctx, &Frame{Type: TypeSlotRefused, Stream: s.id, SlotRefusal: &r})
 }
 
--- a/internal/peer/slots_test.go
+++ b/internal/peer/slots_test.go
@@ -22,7 +22,7 @@
 			is.Equal(slot.Grant.Upstream, "u")
 			slot.Started()
 			is.Equal(<-p.hb.slots, "started")
-			slot.Release(SlotRelease{Ending: 3, Output: 40})
+			slot.Release(SlotRelease{Result: 3, Output: 40})
 			is.Equal(<-p.hb.slots, "released 3 40")
 			is.True(!slot.Lost())
 		})
@@ -145,7 +145,7 @@
 	_, err = p.a.dial(t.Context(), alias)
 	is.True(errors.Is(err, ErrMalformedFrame)) // it calls itself by its own address
 	is.True(!slot.Lost())
-	slot.Release(SlotRelease{Ending: 1})
+	slot.Release(SlotRelease{Result: 1})
 	is.Equal(<-p.hb.slots, "released 1 0")
 }
 
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -310,10 +310,10 @@
 		}
 		if p := m.peers[k.Address]; p != nil {
 			s.Linked = m.liveLink(k.Address, p) != nil
-			s.LastHeard = boottime.Steady(p.lastHeard)
+			s.LastSeen = boottime.Steady(p.lastHeard)
 			s.Revision = p.last.Revision
 			s.InFlight = p.last.InFlight
-			s.Reads = p.last.Reads
+			s.ReadsSource = p.last.ReadsSource
 		}
 		out = append(out, s)
 	}
@@ -321,9 +321,9 @@
 	return out
 }
 
-// Change counts the changes of which peers there are and which are within reach; what changes
+// MembershipVersion counts the changes of which peers there are and which are within reach; what changes
 // with time alone doesn't count. It is 0 where all are linked to all.
-func (m *Mesh) Change() uint64 {
+func (m *Mesh) MembershipVersion() uint64 {
 	if m.sparse == nil {
 		return 0
 	}
@@ -334,13 +334,13 @@
 
 // Role of an instance in a fleet with few links.
 type Role struct {
-	// Hub is its place among the hubs of its availability zone, counted from 0; -1 where it
+	// HubRank is its place among the hubs of its availability zone, counted from 0; -1 where it
 	// is none.
-	Hub int
-	// Rank is how many of its zone within reach go before it in the order of hubs.
-	Rank int
-	// Alone tells whether there is nobody to be found: it knows no seed but itself.
-	Alone bool
+	HubRank int
+	// ZoneRank is how many of its zone within reach go before it in the order of hubs.
+	ZoneRank int
+	// NoOtherSeed tells whether there is nobody to be found: it knows no seed but itself.
+	NoOtherSeed bool
 	// Seed tells whether others find the fleet by it.
 	Seed bool
 }
@@ -351,11 +351,11 @@
 	defer m.mu.Unlock()
 	plan := m.sparse.plan
 	now := boottime.Now()
-	return Role{Hub: plan.HubRank(now), Rank: plan.RankInZone(now), Seed: plan.IsSeed(), Alone: plan.SeedCount() == 0}
+	return Role{HubRank: plan.HubRank(now), ZoneRank: plan.RankInZone(now), Seed: plan.IsSeed(), NoOtherSeed: plan.SeedCount() == 0}
 }
 
-// Links is the number of peers to which links are up.
-func (m *Mesh) Links() int {
+// LinkCount is the number of peers to which links are up.
+func (m *Mesh) LinkCount() int {
 	near, far := m.links()
 	return len(near) + len(far)
 }
--- a/internal/peer/sparse_test.go
+++ b/internal/peer/sparse_test.go
@@ -65,7 +65,7 @@
 	for _, pair := range [][2]*sparseMesh{{a, b}, {b, a}} {
 		slot, _, err := pair[0].AcquireSlot(t.Context(), pair[1].o.Address, &SlotRequest{Service: "free"}, time.Minute)
 		is.NoErr(err)
-		slot.Release(SlotRelease{Ending: 3, Output: 40})
+		slot.Release(SlotRelease{Result: 3, Output: 40})
 		is.Equal(<-pair[1].handler.slots, "released 3 40")
 		reply, err := pair[0].TakeQuota(t.Context(), pair[1].o.Address, &QuotaRequest{Organisation: "crews", Rate: 1, Tokens: 1}, time.Minute)
 		is.NoErr(err)
@@ -89,7 +89,7 @@
 	eventually(t, func() bool {
 		for _, a := range all {
 			for _, b := range all {
-				if a != b && a.Role().Hub < 0 && b.Role().Hub < 0 && !a.IsLinked(b.o.Address) {
+				if a != b && a.Role().HubRank < 0 && b.Role().HubRank < 0 && !a.IsLinked(b.o.Address) {
 					from, to = a, b
 					return true
 				}
@@ -99,7 +99,7 @@
 	})
 	slot, _, err := from.AcquireSlot(t.Context(), to.o.Address, &SlotRequest{Service: "free"}, time.Minute)
 	is.NoErr(err)
-	slot.Release(SlotRelease{Ending: 3})
+	slot.Release(SlotRelease{Result: 3})
 	is.Equal(<-to.handler.slots, "released 3 0")
 	is.True(from.IsLinked(to.o.Address))
 	is.True(to.IsLinked(from.o.Address))
@@ -190,7 +190,7 @@
 	}
 	endUnused()
 	is.True(!slot.Lost())
-	slot.Release(SlotRelease{Ending: 3})
+	slot.Release(SlotRelease{Result: 3})
 	is.Equal(<-b.handler.slots, "released 3 0")
 	endUnused()
 	is.True(slot.Lost())
@@ -204,7 +204,7 @@
 	b := newSparseMesh(t, "bole")
 	own, _, err := a.AcquireSlot(t.Context(), b.o.Address, &SlotRequest{Service: "free"}, time.Minute)
 	is.NoErr(err)
-	own.Release(SlotRelease{Ending: 3})
+	own.Release(SlotRelease{Result: 3})
 	is.Equal(<-b.handler.slots, "released 3 0")
 	slot, _, err := b.AcquireSlot(t.Context(), a.o.Address, &SlotRequest{Service: "free"}, time.Minute)
 	is.NoErr(err)
@@ -218,7 +218,7 @@
 	}
 	endUnused(time.Now().Add(2 * unusedAfter))
 	is.True(!slot.Lost()) // it holds a slot
-	slot.Release(SlotRelease{Ending: 3})
+	slot.Release(SlotRelease{Result: 3})
 	is.Equal(<-a.handler.slots, "released 3 0")
 	endUnused(time.Now())
 	is.True(a.IsLinked(b.o.Address)) // it was used just now
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -14,10 +14,10 @@
 	Zone        string    `json:"zone"`
 	Incarnation uint64    `json:"incarnation,string"`
 	Linked      bool      `json:"linked"`
-	LastHeard   time.Time `json:"lastHeard"`
+	LastSeen    time.Time `json:"lastHeard"`
 	Revision    int64     `json:"revision"`
 	Draining    bool      `json:"draining"`
-	Reads       bool      `json:"reads,omitempty"`
+	ReadsSource bool      `json:"reads,omitempty"`
 	Reachable   bool      `json:"reachable"`
 	Cores       float64   `json:"cores,omitempty"`
 	Started     time.Time `json:"started,omitzero"`
@@ -40,10 +40,10 @@
 			Zone:        p.hello.Zone,
 			Incarnation: p.hello.Incarnation,
 			Linked:      p.link != nil,
-			LastHeard:   boottime.Steady(p.lastHeard),
+			LastSeen:    boottime.Steady(p.lastHeard),
 			Revision:    p.last.Revision,
 			Draining:    p.last.Draining,
-			Reads:       p.last.Reads,
+			ReadsSource: p.last.ReadsSource,
 			InFlight:    p.last.InFlight,
 			Queued:      p.last.Queued,
 			Reachable:   m.isReachable(p),
--- a/internal/peer/telling.go
+++ b/internal/peer/telling.go
@@ -48,7 +48,7 @@
 		m.tellOn(now, l, &t.told, encoded)
 	}
 	dialledBy := m.accepted[address] != nil
-	if dialledBy && plan.Introduces(now, address, max(p.hello.Known, p.last.Known)) {
+	if dialledBy && plan.Introduces(now, address, max(p.hello.KnownPeers, p.last.KnownPeers)) {
 		m.tellOn(now, l, &t.introduced, encoded)
 	}
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -80,7 +80,7 @@
 	ctx, cancel := j.context()
 	defer cancel()
 	exclude := ""
-	ask := peer.AskFirst
+	ask := peer.FirstAttempt
 	var last result
 	unsent, unusable := 0, 0
 	for {
@@ -88,8 +88,8 @@
 			return j.orFailure(j.givenUp(problem))
 		}
 		l, problem := j.handler.o.Fleet.Acquire(ctx, j.want(exclude, ask))
-		if problem == nil || ask == peer.AskFirst {
-			ask = peer.AskAnew
+		if problem == nil || ask == peer.FirstAttempt {
+			ask = peer.RequeuedAttempt
 		}
 		if problem != nil && j.waitsForRest(ctx, problem) {
 			continue
@@ -117,7 +117,7 @@
 			return j.ended(r)
 		}
 		if next == repeats {
-			ask = peer.AskRepeat
+			ask = peer.RetryAttempt
 		}
 		last = r
 		exclude = l.Upstream()
@@ -128,7 +128,7 @@
 }
 
 // want is what the request asks the fleet for. Exclude is an upstream that failed it.
-func (j *job) want(exclude string, ask peer.Ask) *fleet.Want {
+func (j *job) want(exclude string, ask peer.AttemptKind) *fleet.Want {
 	return &fleet.Want{ID: j.call.ID, Key: j.key, Service: j.service, Request: j.schedulerRequest(exclude), Parts: j.call.Parts, Ask: ask}
 }
 
--- a/internal/slopes/peers.go
+++ b/internal/slopes/peers.go
@@ -50,16 +50,16 @@
 type quietHandler struct{}
 
 func (quietHandler) Serve(context.Context, *request.Request) *answer.Buffer { return answer.New(true) }
-func (quietHandler) State(*peer.Fetch) *peer.State                          { return &peer.State{} }
-func (quietHandler) Fetch() *peer.Fetch                                     { return &peer.Fetch{} }
-func (quietHandler) Learn(string, time.Time, *peer.State)                   {}
+func (quietHandler) State(*peer.FetchRequest) *peer.State                   { return &peer.State{} }
+func (quietHandler) FetchRequest() *peer.FetchRequest                       { return &peer.FetchRequest{} }
+func (quietHandler) MergeState(string, time.Time, *peer.State)              {}
 func (quietHandler) Heartbeat() *peer.Heartbeat                             { return heartbeat(setsTold) }
-func (quietHandler) Heard(string, *peer.Heartbeat)                          {}
-func (quietHandler) Pressure(peer.Pressure)                                 {}
-func (quietHandler) Silent(string)                                          {}
-func (quietHandler) QuotaReturned(*peer.QuotaReturn)                        {}
+func (quietHandler) HandleHeartbeat(string, *peer.Heartbeat)                {}
+func (quietHandler) HandlePressure(peer.Pressure)                           {}
+func (quietHandler) PeerLost(string)                                        {}
+func (quietHandler) HandleQuotaReturn(*peer.QuotaReturn)                    {}
 func (quietHandler) ServeQuota(*peer.QuotaRequest) *peer.QuotaReply         { return &peer.QuotaReply{} }
-func (quietHandler) Unlinked(string)                                        {}
+func (quietHandler) LinkLost(string)                                        {}
 func (quietHandler) ServeSlot(context.Context, *peer.SlotRequest, *peer.SlotStream) {
 }
 
