--- a/internal/peer/fetch.go
+++ b/internal/peer/fetch.go
@@ -10,23 +10,24 @@
 	"github.com/tacktally/tacktally/internal/boottime"
 )
 
-// Fetch asks a peer for its state and hands it to the Handler.
+// Fetch requests a peer's state and passes it to Handler.MergeState. It blocks until the peer
+// replies, ctx ends or fetchTimeout has passed.
 func (m *Mesh) Fetch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeoutCause(ctx, fetchTimeout, ErrNoReply)
 	defer cancel()
-	asked := boottime.Now()
-	return m.ask(ctx, address, &Frame{Type: TypeFetch, Fetch: m.o.Handler.FetchRequest()}, func(f *Frame) {
+	requestedAt := boottime.Now()
+	return m.roundTrip(ctx, address, &Frame{Type: TypeFetch, Fetch: m.o.Handler.FetchRequest()}, func(f *Frame) {
 		if f.State != nil {
-			m.o.Handler.MergeState(address, asked, f.State)
+			m.o.Handler.MergeState(address, requestedAt, f.State)
 		}
 	})
 }
 
-// linkPoll is how often FetchAll looks whether a link has come up.
-const linkPoll = 10 * time.Millisecond
+// linkPollInterval is how often FetchAll checks whether a link has come up.
+const linkPollInterval = 10 * time.Millisecond
 
-// FetchAll fetches the state of every peer that is to be linked to, waiting for
-// its link, until ctx ends.
+// FetchAll fetches the state of every known peer. It waits for links that aren't up yet, and blocks
+// until all fetches have succeeded or ctx ends.
 func (m *Mesh) FetchAll(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, p := range m.Peers() {
@@ -36,7 +37,7 @@
 }
 
 func (m *Mesh) fetchWhenLinked(ctx context.Context, address string) {
-	t := time.NewTicker(linkPoll)
+	t := time.NewTicker(linkPollInterval)
 	defer t.Stop()
 	for m.Fetch(ctx, address) != nil {
 		select {
@@ -47,12 +48,13 @@
 	}
 }
 
-// FetchAny fetches the state of the linked peers until one has answered or ctx ends.
+// FetchAny requests the state of the linked peers and blocks until one has replied, all have
+// failed, or ctx ends.
 func (m *Mesh) FetchAny(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
-	for _, p := range m.toAsk() {
+	for _, p := range m.peersToFetchFrom() {
 		all.Go(func() {
 			if m.Fetch(ctx, p.Address) == nil {
 				cancel()
@@ -62,15 +64,16 @@
 	all.Wait()
 }
 
-// mostAsked bounds the peers that FetchAny asks of a fleet with few links: all that may know
-// more are those that read the source, and some others for the case that these are cut off
-// from it. Each hands over a whole configuration.
-const mostAsked = 8
+// maxFetchPeers bounds the peers that FetchAny queries in a sparse mesh. Only peers that read the
+// source are likely to have newer state; a few others are queried in case those are cut off from
+// it. Each replies with a whole configuration.
+const maxFetchPeers = 8
 
-// toAsk returns the peers that FetchAny asks: those linked to, in a large fleet some of them.
-func (m *Mesh) toAsk() []Status {
+// peersToFetchFrom returns the peers that FetchAny queries: all known peers in a full mesh; in a
+// sparse one the linked peers, at most maxFetchPeers of them, those that read the source first.
+func (m *Mesh) peersToFetchFrom() []Status {
 	peers := slices.DeleteFunc(m.Peers(), func(p Status) bool { return m.sparse != nil && !p.Linked })
-	if m.sparse == nil || len(peers) <= mostAsked {
+	if m.sparse == nil || len(peers) <= maxFetchPeers {
 		return peers
 	}
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
@@ -84,49 +87,50 @@
 			return 1
 		}
 	})
-	return peers[:mostAsked]
+	return peers[:maxFetchPeers]
 }
 
-// ScheduleFetch fetches a peer's state in the background, once a fetch that has just begun has
-// ended or is slow. Of several that wait for that, the last is made: all tell of what is newest.
+// ScheduleFetch fetches a peer's state in the background. While another background fetch is in
+// progress, it waits until that one ends, or is maxFetchDelay old. Of the fetches that wait, only
+// the last one requested is made: all peers announce the latest state.
 func (m *Mesh) ScheduleFetch(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ctx.Err() != nil {
 		return
 	}
-	held := fetchPatience - boottime.Since(m.fetched)
-	if m.fetches == 0 || held <= 0 {
-		m.fetchNow(address)
+	delay := maxFetchDelay - boottime.Since(m.lastFetch)
+	if m.activeFetches == 0 || delay <= 0 {
+		m.startFetch(address)
 		return
 	}
-	if m.fetchNext == "" {
-		time.AfterFunc(held, m.fetchWaiting)
+	if m.pendingFetch == "" {
+		time.AfterFunc(delay, m.startPendingFetch)
 	}
-	m.fetchNext = address
+	m.pendingFetch = address
 }
 
-// fetchNow begins a fetch. The caller holds the lock.
-func (m *Mesh) fetchNow(address string) {
-	m.fetches++
-	m.fetched = boottime.Now()
+// startFetch starts a background fetch. The caller holds the lock.
+func (m *Mesh) startFetch(address string) {
+	m.activeFetches++
+	m.lastFetch = boottime.Now()
 	m.wg.Go(func() {
 		err := m.Fetch(m.ctx, address)
 		m.mu.Lock()
-		m.fetches--
+		m.activeFetches--
 		m.mu.Unlock()
 		if err != nil && m.ctx.Err() == nil {
-			m.o.Log.Warn().Str("event", "fetch_failed").Str("peer", address).Str("cause", err.Error()).Msg("")
+			m.o.Log.Warn().Str("event", "fetch_failed").Str("peer", address).Str("cause", err.Error()).Msg("could not fetch the peer's state; its next announcement triggers another fetch")
 		}
-		m.fetchWaiting()
+		m.startPendingFetch()
 	})
 }
 
-// fetchWaiting makes the fetch that waits, if there is one.
-func (m *Mesh) fetchWaiting() {
+// startPendingFetch starts the fetch that waits, if there is one.
+func (m *Mesh) startPendingFetch() {
 	m.mu.Lock()
-	address := m.fetchNext
-	m.fetchNext = ""
+	address := m.pendingFetch
+	m.pendingFetch = ""
 	m.mu.Unlock()
 	if address != "" {
 		m.ScheduleFetch(address)
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -12,31 +12,31 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// Forward sends a request to a peer and relays the answer into the buffer, which
-// it finishes unless it returns an error. Sent tells, with an error, whether the
-// request may have reached the peer. It blocks until the answer ends.
+// Forward sends a request to a peer and relays the response into the buffer, which it finishes
+// unless it returns an error. With an error, sent reports whether the request may have reached the
+// peer. Forward blocks until the response ends.
 //
-// A buffer that holds a part of the answer already, from an earlier call under the
-// same key, is gone on with: the peer gives the same answer from its start, and what
-// was passed on is left out.
+// A buffer that already holds the beginning of the response, from an earlier call with the same
+// key, is resumed: the peer sends the same response from its start, and the bytes that the buffer
+// has are skipped.
 func (m *Mesh) Forward(ctx context.Context, address string, r *request.Request, b *answer.Buffer) (sent bool, err error) {
-	l := m.linkTo(address)
+	l := m.reachableLink(address)
 	if l == nil {
 		return false, fmt.Errorf("%w %s", ErrUnreachable, address)
 	}
-	id, s := l.open()
+	id, s := l.openStream()
 	defer l.closeStream(id)
 	if err := l.send(ctx, &Frame{Type: TypeOpen, Stream: id, Request: r.ForPeer(time.Now())}); err != nil {
 		return false, err
 	}
-	a := &arrival{link: l, id: id, buffer: b, skip: b.Written()}
+	in := &incomingResponse{link: l, id: id, buffer: b, skip: b.Written()}
 	for {
 		f, err := l.nextFrame(ctx, s)
 		if err != nil {
 			l.trySend(&Frame{Type: TypeCancel, Stream: id})
 			return true, err
 		}
-		done, err := a.take(ctx, f)
+		done, err := in.handle(ctx, f)
 		if err != nil {
 			l.trySend(&Frame{Type: TypeCancel, Stream: id})
 			return true, err
@@ -47,17 +47,17 @@
 	}
 }
 
-// arrival is an answer that comes in on a stream.
-type arrival struct {
-	link   *link
-	id     uint64
-	buffer *answer.Buffer
-	taken  int // bytes read since credit was last given
-	skip   int // bytes of the answer that the buffer has had already
+// incomingResponse is a response that is received on a stream.
+type incomingResponse struct {
+	link       *link
+	id         uint64
+	buffer     *answer.Buffer
+	uncredited int // bytes read since credit was last sent
+	skip       int // bytes of the response that the buffer already has
 }
 
-// take passes one frame on, and gives credit for what was read.
-func (a *arrival) take(ctx context.Context, f *Frame) (done bool, err error) {
+// handle writes one frame to the buffer, and sends credit for the data that was read.
+func (a *incomingResponse) handle(ctx context.Context, f *Frame) (done bool, err error) {
 	switch f.Type {
 	case TypeHead:
 		a.buffer.Start(*f.Head)
@@ -65,12 +65,12 @@
 		if err := a.write(ctx, f.Data); err != nil {
 			return false, err
 		}
-		a.taken += charge(len(f.Data))
-		if a.taken < creditAfter {
+		a.uncredited += charge(len(f.Data))
+		if a.uncredited < creditThreshold {
 			return false, nil
 		}
-		err := a.link.send(ctx, &Frame{Type: TypeCredit, Stream: a.id, Credit: a.taken})
-		a.taken = 0
+		err := a.link.send(ctx, &Frame{Type: TypeCredit, Stream: a.id, Credit: a.uncredited})
+		a.uncredited = 0
 		return false, err
 	case TypeEnd:
 		a.buffer.Finish(*f.End)
@@ -79,7 +79,7 @@
 	return false, nil
 }
 
-func (a *arrival) write(ctx context.Context, data []byte) error {
+func (a *incomingResponse) write(ctx context.Context, data []byte) error {
 	n := min(a.skip, len(data))
 	a.skip -= n
 	if n == len(data) {
@@ -88,28 +88,29 @@
 	return a.buffer.Write(ctx, data[n:])
 }
 
-// SendPressure tells every peer of the zone within reach that work is about to be shed
-// for lack of capacity, and waits until each holds no lower work, or ctx ends.
+// SendPressure notifies every reachable peer of the zone that work is about to be shed for lack of
+// capacity. It blocks until each peer has shed its lower-ranked work, or ctx ends.
 func (m *Mesh) SendPressure(ctx context.Context, p Pressure) {
 	var all sync.WaitGroup
 	for _, peer := range m.Peers() {
 		if peer.Reachable && peer.Zone == m.o.Zone {
-			all.Go(func() { _ = m.ask(ctx, peer.Address, &Frame{Type: TypePressure, Pressure: &p}, func(*Frame) {}) })
+			all.Go(func() { _ = m.roundTrip(ctx, peer.Address, &Frame{Type: TypePressure, Pressure: &p}, func(*Frame) {}) })
 		}
 	}
 	all.Wait()
 }
 
-// replyFrames is how many frames answer what ask sends.
+// replyFrames is the number of frames in the reply to a roundTrip.
 const replyFrames = 1
 
-// ask sends a frame on a stream of its own and hands over the frame that answers it.
-func (m *Mesh) ask(ctx context.Context, address string, f *Frame, answer func(*Frame)) error {
-	l, err := m.linkFor(ctx, address)
+// roundTrip sends a frame on a new stream and passes the frame that answers it to onReply. It
+// blocks until the reply arrives, ctx ends or the link ends.
+func (m *Mesh) roundTrip(ctx context.Context, address string, f *Frame, onReply func(*Frame)) error {
+	l, err := m.ensureLink(ctx, address)
 	if err != nil {
 		return err
 	}
-	id, s := l.openWith(replyFrames)
+	id, s := l.openStreamSized(replyFrames)
 	defer l.closeStream(id)
 	f.Stream = id
 	if err := l.send(ctx, f); err != nil {
@@ -118,10 +119,10 @@
 	reply, err := l.nextFrame(ctx, s)
 	if err != nil {
 		if errors.Is(context.Cause(ctx), ErrNoReply) {
-			l.miss(boottime.Now())
+			l.recordMissedReply(boottime.Now())
 		}
 		return err
 	}
-	answer(reply)
+	onReply(reply)
 	return nil
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,13 +1,3 @@
-// Package peer links the instances of the system with each other.
-//
-// Where all are linked to all, each instance dials every other one it knows, and sends its
-// requests and heartbeats on the link it dialled; the other side answers on that link. Where
-// links are few (Options.Sparse), package membership says with whom they are kept, one link
-// serves a pair in both directions, and more are made on use. A link is a WebSocket connection with one CBOR frame a message. Requests share it by
-// stream number, with flow control for each stream. A frame that is malformed,
-// too large or of an unknown version closes the link with a typed error; the
-// requests on it are sent again on a new link, which is safe because the issuer
-// of a key recognises repeats.
 package peer
 
 import (
@@ -24,55 +14,56 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// Version of the frames. A link carries frames of one version only.
+// Version is the version of the frames. A link carries frames of one version only.
 const Version = 2
 
-// MaxFrameBytes bounds a frame: the largest request body and its terms.
+// MaxFrameBytes bounds a frame. It fits the largest request body and its other fields.
 const MaxFrameBytes = 8 << 20
 
-// Type of a frame.
+// Type is the type of a frame.
 type Type uint8
 
-// The types. Stream is 0 for those that concern the link as a whole.
+// The frame types. Stream is 0 in frames that concern the link as a whole.
 const (
 	// TypeHello is the first frame in each direction.
 	TypeHello Type = iota + 1
-	// TypeHeartbeat is sent by the dialling side.
+	// TypeHeartbeat carries a heartbeat: from the dialling side in a full mesh, from both sides in
+	// a sparse one.
 	TypeHeartbeat
 	// TypeOpen sends a request on a new stream.
 	TypeOpen
-	// TypeHead, TypeData and TypeEnd are the answer to it.
+	// TypeHead, TypeData and TypeEnd are the response to it.
 	TypeHead
 	TypeData
 	TypeEnd
-	// TypeCredit lets the answering side send so many more bytes.
+	// TypeCredit allows the responding side to send that many more bytes.
 	TypeCredit
-	// TypeCancel says that the answer is no longer wanted.
+	// TypeCancel ends a stream whose response or slot is no longer wanted.
 	TypeCancel
-	// TypeFetch asks for the configuration and the instance list.
+	// TypeFetch requests the peer's state: its configuration and list.
 	TypeFetch
-	// TypeState answers it.
+	// TypeState is the reply to TypeFetch.
 	TypeState
-	// TypePressure says that work of a rank is about to be shed for lack of
-	// capacity; TypeRelieved answers that no lower work waits any more.
+	// TypePressure announces that work of a rank is about to be shed for lack of capacity.
+	// TypeRelieved replies that no lower-ranked work waits any more.
 	TypePressure
 	TypeRelieved
-	// TypeSlotRequest asks for a slot at an upstream. It is answered by
-	// TypeSlotQueued, which may be left out, and TypeSlotGranted or TypeSlotRefused.
+	// TypeSlotRequest requests a slot at an upstream. The reply is an optional TypeSlotQueued, then
+	// TypeSlotGranted or TypeSlotRefused.
 	TypeSlotRequest
 	TypeSlotQueued
 	TypeSlotGranted
 	TypeSlotRefused
-	// TypeSlotStarted says that the first token has come; TypeSlotReleased gives the
-	// slot back, as TypeCancel does.
+	// TypeSlotStarted reports the first token. TypeSlotReleased returns the slot, as TypeCancel
+	// does.
 	TypeSlotStarted
 	TypeSlotReleased
-	// TypeQuotaRequest asks for tokens of an organisation, TypeQuotaReply answers it, and
-	// TypeQuotaReturn gives tokens back.
+	// TypeQuotaRequest requests tokens of an organisation, TypeQuotaReply is the reply, and
+	// TypeQuotaReturn returns unused tokens.
 	TypeQuotaRequest
 	TypeQuotaReply
 	TypeQuotaReturn
-	// TypeMembership tells which instances there are, where links are few.
+	// TypeMembership carries membership updates in a sparse mesh.
 	TypeMembership
 	typeLast
 )
@@ -84,7 +75,7 @@
 	ErrUnknownType    = errors.New("frame of an unknown type; run the same version on all instances")
 )
 
-// Frame is one message on a link. Type tells which of the fields are set.
+// Frame is one message on a link. Type determines which of the other fields are set.
 type Frame struct {
 	Version   uint8            `cbor:"1,keyasint"`
 	Type      Type             `cbor:"2,keyasint"`
@@ -112,74 +103,77 @@
 	Membership *membership.Telling `cbor:"22,keyasint,omitempty"`
 }
 
-// Hello names the sender.
+// Hello identifies the sender of a link's first frame.
 type Hello struct {
 	Address     string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
-	// Cores is the processor time that the instance has, in cores; 0 is unknown.
+	// Cores is the processor time that the instance has, in cores; 0 means unknown.
 	Cores float64 `cbor:"4,keyasint,omitempty"`
-	// KnownPeers is the number of peers that it knows. One that knows few is told of others.
+	// KnownPeers is the number of peers that the sender knows. One that knows few is sent a
+	// bootstrap update with others.
 	KnownPeers int `cbor:"5,keyasint,omitempty"`
-	// Age is the time since it started.
+	// Age is the time since the sender started.
 	Age time.Duration `cbor:"6,keyasint,omitempty"`
-	// DialledAddress is the address under which the peer was dialled; empty from the side that
-	// was.
+	// DialledAddress is the address under which the sender dialled the peer; empty in the reply of
+	// the peer that was dialled.
 	DialledAddress string `cbor:"7,keyasint,omitempty"`
 }
 
-// Heartbeat tells the peers what they need to know of an instance.
+// Heartbeat is the state that an instance sends to its peers periodically and on changes.
 type Heartbeat struct {
 	// Revision is the highest accepted configuration revision.
 	Revision int64 `cbor:"1,keyasint"`
-	// ListVersion is the version of the instance list it uses.
+	// ListVersion is the version of the list that the sender uses.
 	ListVersion int64 `cbor:"2,keyasint"`
-	// Draining instances take no new work.
+	// Draining reports that the sender accepts no new work.
 	Draining bool `cbor:"3,keyasint,omitempty"`
-	// Leaving upstreams, by their own word; where they are named so, their processes.
+	// Leaving are the upstreams that announced themselves that they leave, or their processes where
+	// these are known.
 	Leaving []string `cbor:"4,keyasint,omitempty"`
-	// InFlight is the number of requests it serves.
+	// InFlight is the number of requests that the sender serves.
 	InFlight int `cbor:"5,keyasint,omitempty"`
-	// Queued work by set and rank.
+	// Queued is the number of waiting requests by engine set and rank.
 	Queued map[string][]int `cbor:"6,keyasint,omitempty"`
-	// Pending prompt tokens by upstream: sent and not read yet.
+	// Pending is the number of prompt tokens by upstream that were sent and aren't prefilled yet.
 	Pending map[string]int `cbor:"7,keyasint,omitempty"`
-	// Demand of organisations with a limit, in tokens a second.
+	// Demand is the demand of organisations that have a limit, in tokens per second.
 	Demand map[string]float64 `cbor:"8,keyasint,omitempty"`
-	// Running requests by upstream: sent and not ended.
+	// Running is the number of requests by upstream that were sent and haven't ended.
 	Running map[string]int `cbor:"9,keyasint,omitempty"`
 	// KnownPeers is the number of peers that the sender knows.
 	KnownPeers int `cbor:"10,keyasint,omitempty"`
-	// ReadsSource tells that the sender reads the source itself.
+	// ReadsSource reports whether the sender reads the source itself.
 	ReadsSource bool `cbor:"12,keyasint,omitempty"`
-	// Brief heartbeats leave out what is told of load and organisations.
+	// Brief heartbeats leave out load and organisations.
 	Brief bool `cbor:"13,keyasint,omitempty"`
 	// SourceReachableMS is for how many milliseconds the sender, or a peer of it, has reached the
-	// source all the time; a minute at most.
+	// source without interruption; at most one minute.
 	SourceReachableMS int `cbor:"14,keyasint,omitempty"`
-	// Evacuations are in whole, so that news of them needs no fetch: they are few and short.
+	// Evacuations is the whole list, so that a change of it needs no fetch: it is short.
 	Evacuations Evacuations `cbor:"15,keyasint,omitzero"`
-	// Quarantine is what is new of crashes and the requests that cause them.
+	// Quarantine carries recent changes to the records of crashes and of the requests that cause
+	// them.
 	Quarantine *quarantine.News `cbor:"16,keyasint,omitempty"`
-	// ConfigVersion is the own version of the configuration in force, 0 where it isn't told.
+	// ConfigVersion is the version that the configuration in force carries itself; 0 means not
+	// reported.
 	ConfigVersion int64 `cbor:"18,keyasint,omitempty"`
-	// Limits that upstreams have named: what is new of them, and some of the rest in turn.
+	// Limits are advertised limits of upstreams: recent changes, and some of the older ones
+	// round-robin.
 	Limits []ratelimit.Update `cbor:"17,keyasint,omitempty"`
 }
 
-// Evacuations are the availability zones whose upstreams are to get nothing new.
+// Evacuations lists the availability zones whose upstreams get no new requests.
 type Evacuations struct {
-	// Version is the revision of the source up to which Zones is complete; 0 where nothing is
-	// known.
+	// Version is the revision of the source up to which Zones is complete; 0 if none is known.
 	Version int64    `cbor:"1,keyasint,omitempty"`
 	Zones   []string `cbor:"2,keyasint,omitempty"`
-	// Held are those of Zones that the source had before it came back from a copy, with the time for which they are
-	// still believed to be evacuated.
+	// Held are those of Zones that the source had before it was restored from a copy, with the time
+	// for which they are still considered evacuated.
 	Held map[string]time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// brief returns what peers of other availability zones are told between two whole
-// heartbeats.
+// brief returns the heartbeat that peers of other availability zones get between two whole ones.
 func (h *Heartbeat) brief() *Heartbeat {
 	return &Heartbeat{
 		Revision:          h.Revision,
@@ -198,56 +192,58 @@
 	}
 }
 
-// FetchRequest asks for the state.
+// FetchRequest requests a peer's state. Its fields describe the state that the requester has.
 type FetchRequest struct {
-	// Parts of the configuration that the asking instance has, by their sums.
+	// Parts are the parts of the configuration that the requester has, by their checksums.
 	Parts []string `cbor:"1,keyasint,omitempty"`
-	// Revision and ListVersion that it has; they needn't be handed over again.
+	// Revision and ListVersion of the requester; content of the same version isn't sent again.
 	Revision    int64 `cbor:"2,keyasint,omitempty"`
 	ListVersion int64 `cbor:"3,keyasint,omitempty"`
-	// AcceptsDelta tells that it takes what has changed of the list of upstreams since that version.
+	// AcceptsDelta reports that the requester accepts the changes to the list of upstreams since
+	// ListVersion instead of the whole list.
 	AcceptsDelta bool `cbor:"4,keyasint,omitempty"`
-	// ListChecksums of the parts of its list, to get those that differ from the peer's.
+	// ListChecksums are the checksums of the chunks of the requester's list. They are set to get
+	// the chunks that differ from the peer's.
 	ListChecksums []uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// State is what one instance hands over to another.
+// State is what an instance sends to a peer that fetches its state.
 type State struct {
-	// Revision and Content of the configuration; Revision 0 when it has none.
+	// Revision and Content of the configuration; Revision is 0 if the sender has none.
 	Revision int64  `cbor:"1,keyasint"`
 	Content  []byte `cbor:"2,keyasint,omitempty"`
-	// Age of the configuration: the time since the read that proved it was sent.
+	// Age of the configuration: the time since the read that confirmed it was sent to the source.
 	Age time.Duration `cbor:"6,keyasint,omitempty"`
-	// Parts that the asking instance lacks, by their sums.
+	// Parts of the configuration that the requester lacks, by their checksums.
 	Parts map[string][]byte `cbor:"5,keyasint,omitempty"`
-	// ListVersion and List of instances, as JSON, or of upstreams, as CBOR, where
-	// those alone are published; ListVersion 0 when it has none. An asking instance that
-	// has that version of upstreams gets no list.
+	// ListVersion and List: the list of instances as JSON, or of upstreams as CBOR where only those
+	// are published; ListVersion is 0 if the sender has none. A requester that has this version of
+	// the upstreams gets no List.
 	ListVersion int64  `cbor:"3,keyasint"`
 	List        []byte `cbor:"4,keyasint,omitempty"`
-	// ListAge is the time since the read was sent that showed the list of upstreams to be
-	// current last.
+	// ListAge is the time since the last read was sent to the source that confirmed the list of
+	// upstreams.
 	ListAge time.Duration `cbor:"7,keyasint,omitempty"`
-	// Missing are the upstreams of List that lapsed around an outage of the source, with the
-	// time in which they may still come back.
+	// Missing are the upstreams of List that lapsed around an outage of the source, with the time
+	// within which they may still come back.
 	Missing map[string]time.Duration `cbor:"8,keyasint,omitempty"`
-	// Evacuations are known at least as of the configuration's age.
+	// Evacuations are at least as recent as the configuration's Age says.
 	Evacuations Evacuations `cbor:"9,keyasint,omitzero"`
-	// ListSince is the version since which List and Vanished are what has changed of the list of
-	// upstreams; 0 where List is the whole of it, or of ListParts.
+	// ListSince is the version since which List and Removed are the changes to the list of
+	// upstreams; 0 if List is the whole list, or all of ListChunks.
 	ListSince  int64 `cbor:"10,keyasint,omitempty"`
 	ListChunks []int `cbor:"11,keyasint,omitempty"`
-	// Removed are the IDs of upstreams that have left the list since.
+	// Removed are the IDs of upstreams that have left the list since ListSince.
 	Removed []string `cbor:"12,keyasint,omitempty"`
-	// Leaving are the processes of upstreams that have said themselves that they leave.
+	// Leaving are the processes of upstreams that announced themselves that they leave.
 	Leaving []string `cbor:"14,keyasint,omitempty"`
-	// Limits that upstreams have named.
+	// Limits are the advertised limits of upstreams.
 	Limits []ratelimit.Update `cbor:"15,keyasint,omitempty"`
-	// ListDigest is of the whole list of upstreams of that version; 0 where it isn't told.
+	// ListDigest is the digest of the whole list of upstreams of ListVersion; 0 means not reported.
 	ListDigest uint64 `cbor:"13,keyasint,omitempty"`
 }
 
-// Pressure says that work of Rank is about to be shed for lack of capacity in Set.
+// Pressure announces that work of Rank is about to be shed for lack of capacity in Set.
 type Pressure struct {
 	Set  string `cbor:"1,keyasint"`
 	Rank int    `cbor:"2,keyasint"`
@@ -280,17 +276,17 @@
 	return m
 }
 
-// Encode encodes a frame under the current version.
+// Encode encodes a frame and sets its Version to the current one.
 func Encode(f *Frame) ([]byte, error) {
 	f.Version = Version
 	b, err := encoder.Marshal(f)
 	if err != nil {
-		return nil, fmt.Errorf("peer: frame of type %d doesn't encode: %w", f.Type, err)
+		return nil, fmt.Errorf("peer: encode frame of type %d: %w", f.Type, err)
 	}
 	return b, nil
 }
 
-// Decode decodes a frame and checks that it carries what its type needs.
+// Decode decodes a frame and checks that it has the fields that its type requires.
 func Decode(b []byte) (*Frame, error) {
 	var f Frame
 	if err := decoder.Unmarshal(b, &f); err != nil {
@@ -311,7 +307,7 @@
 	case TypeHeartbeat:
 		complete, onStream = f.Heartbeat != nil && (f.Heartbeat.Quarantine == nil || f.Heartbeat.Quarantine.IsSane()), false
 	case TypeQuotaRequest:
-		complete = f.QuotaRequest != nil && f.QuotaRequest.isSane()
+		complete = f.QuotaRequest != nil && f.QuotaRequest.isValid()
 	case TypeQuotaReply:
 		complete = f.QuotaReply != nil
 	case TypeQuotaReturn:
@@ -335,7 +331,7 @@
 	case TypeFetch:
 		complete = f.Fetch != nil
 	case TypeSlotRequest:
-		complete = f.SlotRequest != nil && f.SlotRequest.isSane()
+		complete = f.SlotRequest != nil && f.SlotRequest.isValid()
 	case TypeSlotGranted:
 		complete = f.SlotGrant != nil
 	case TypeSlotRefused:
@@ -347,15 +343,15 @@
 		return fmt.Errorf("%w: %d", ErrUnknownType, f.Type)
 	}
 	if !complete || (onStream && f.Stream == 0) {
-		return fmt.Errorf("%w: type %d lacks what it needs", ErrMalformedFrame, f.Type)
+		return fmt.Errorf("%w: type %d lacks a required field or has an invalid one", ErrMalformedFrame, f.Type)
 	}
 	return nil
 }
 
-func (r *SlotRequest) isSane() bool {
+func (r *SlotRequest) isValid() bool {
 	return r.Service != "" && r.Shard >= 0 && r.Rank >= 0 && r.Age >= 0 && r.Age < maxRemaining &&
 		r.Timeout < maxRemaining && r.PromptTokens >= 0 && r.MaxOutput >= 0 && r.ExpectedOutput >= 0 && r.Bytes >= 0
 }
 
-// maxRemaining bounds the time left that a request may name.
+// maxRemaining bounds the time left, and the age, that a request may state.
 const maxRemaining = 2 * time.Hour
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -6,103 +6,108 @@
 	"github.com/tacktally/tacktally/internal/boottime"
 )
 
-// heartbeat takes a peer's heartbeat, from a link whose other side has said who it is.
-func (m *Mesh) heartbeat(from string, h *Heartbeat) {
+// receiveHeartbeat records a peer's heartbeat and passes it to the handler. It ignores heartbeats
+// on a link whose peer hasn't sent its hello.
+func (m *Mesh) receiveHeartbeat(from string, h *Heartbeat) {
 	if from == "" {
 		return
 	}
 	m.mu.Lock()
 	if p := m.peers[from]; p != nil {
-		p.lastHeard = boottime.Now()
-		p.last = *h
+		p.lastSeen = boottime.Now()
+		p.lastHeartbeat = *h
 		if m.sparse != nil {
-			m.sparse.plan.SetDraining(p.lastHeard, from, h.Draining)
+			m.sparse.overlay.SetDraining(p.lastSeen, from, h.Draining)
 		}
 	}
 	m.mu.Unlock()
 	m.o.Handler.HandleHeartbeat(from, h)
 }
 
-// beat sends heartbeats until the mesh is closed.
-func (m *Mesh) beat() {
+// heartbeatLoop sends heartbeats and ends silent links until the mesh is closed.
+func (m *Mesh) heartbeatLoop() {
 	t := time.NewTicker(m.o.Heartbeat)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-t.C:
-			m.closeSilent()
-			m.announce(n%max(m.o.CrossZoneEvery, 1) == 0)
+			m.closeSilentLinks()
+			m.broadcastHeartbeat(n%max(m.o.CrossZoneEvery, 1) == 0)
 		case <-m.ctx.Done():
 			return
 		}
 	}
 }
 
-// closeSilent closes links to peers not heard of for SuspectAfter, so that what
-// waits on them is told.
-func (m *Mesh) closeSilent() {
-	for _, address := range m.dropSilent() {
+// closeSilentLinks ends links to peers that weren't seen for SuspectAfter, so that requests that
+// wait on them fail.
+func (m *Mesh) closeSilentLinks() {
+	for _, address := range m.dropSilentPeers() {
 		m.o.Handler.PeerLost(address)
 	}
 }
 
-// dropSilent returns the peers that are silent since the last call.
-func (m *Mesh) dropSilent() (news []string) {
+// dropSilentPeers ends the links to silent peers and returns the peers that have become silent
+// since the last call. In a full mesh it also forgets unlisted peers that are silent for
+// forgetAfter.
+func (m *Mesh) dropSilentPeers() (newlySilent []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sparse != nil {
-		return m.endSilent(boottime.Now())
+		return m.closeSilentSparseLinks(boottime.Now())
 	}
 	for address, p := range m.peers {
-		if boottime.Since(p.lastHeard) <= m.o.SuspectAfter {
+		if boottime.Since(p.lastSeen) <= m.o.SuspectAfter {
 			p.silent = false
 			continue
 		}
 		if !p.silent {
 			p.silent = true
-			news = append(news, address)
+			newlySilent = append(newlySilent, address)
 		}
 		if p.link != nil {
 			p.link.cancel(errSilent)
 			p.link = nil
 		}
 		if l := m.accepted[address]; l != nil {
-			l.cancel(errSilent) // what the peer holds on it is given back
+			l.cancel(errSilent) // releases the slots that the peer holds on it
 		}
-		if !p.listed && boottime.Since(p.since) > forgetAfter && boottime.Since(p.lastHeard) > forgetAfter {
+		if !p.listed && boottime.Since(p.knownSince) > forgetAfter && boottime.Since(p.lastSeen) > forgetAfter {
 			p.stop()
 			delete(m.peers, address)
 		}
 	}
-	return news
+	return newlySilent
 }
 
-// SendHeartbeat sends a whole heartbeat to one peer now, if it is within reach.
+// SendHeartbeat sends a whole heartbeat to one peer now. If no link to it is up, or the outbox is
+// full, nothing is sent. In a sparse mesh it also starts to dial the peer.
 func (m *Mesh) SendHeartbeat(address string) {
 	if l, _ := m.useLink(address); l != nil {
-		l.trySend(&Frame{Type: TypeHeartbeat, Heartbeat: m.o.Handler.Heartbeat()}) // or the next one says it
+		l.trySend(&Frame{Type: TypeHeartbeat, Heartbeat: m.o.Handler.Heartbeat()}) // if the outbox is full, the next heartbeat carries the same state
 	}
 }
 
-// Announce sends a heartbeat to every linked peer now; a brief one to those of other
-// availability zones, unless they are always sent whole ones.
-func (m *Mesh) Announce() { m.announce(m.o.CrossZoneEvery <= 1) }
+// Announce sends a heartbeat to every linked peer now: a whole one within the zone, a brief one to
+// other zones unless these always get whole ones.
+func (m *Mesh) Announce() { m.broadcastHeartbeat(m.o.CrossZoneEvery <= 1) }
 
-// announce sends a heartbeat, to far peers a whole one if whole is set.
-func (m *Mesh) announce(whole bool) {
-	near, far := m.links()
+// broadcastHeartbeat sends a heartbeat to every linked peer. Peers of other zones get a brief one
+// unless whole is set.
+func (m *Mesh) broadcastHeartbeat(whole bool) {
+	sameZone, otherZones := m.linksByZone()
 	h := m.o.Handler.Heartbeat()
 	if m.sparse != nil {
-		m.noteDraining(h.Draining)
+		m.setDraining(h.Draining)
 	}
-	sendAll(near, &Frame{Type: TypeHeartbeat, Heartbeat: h})
+	sendAll(sameZone, &Frame{Type: TypeHeartbeat, Heartbeat: h})
 	if !whole {
 		h = h.brief()
 	}
-	sendAll(far, &Frame{Type: TypeHeartbeat, Heartbeat: h})
+	sendAll(otherZones, &Frame{Type: TypeHeartbeat, Heartbeat: h})
 }
 
-// sendAll sends one frame on many links, as far as their outboxes have room.
+// sendAll sends one frame on many links. Links whose outbox is full are skipped.
 func sendAll(links []*link, f *Frame) {
 	if len(links) == 0 {
 		return
@@ -112,12 +117,12 @@
 		panic("peer: a heartbeat always encodes: " + err.Error())
 	}
 	for _, l := range links {
-		l.offer(b)
+		l.trySendEncoded(b)
 	}
 }
 
-// links returns the links to peers of its own availability zone and to the others.
-func (m *Mesh) links() (near, far []*link) {
+// linksByZone returns the links to peers of this instance's availability zone and of other zones.
+func (m *Mesh) linksByZone() (sameZone, otherZones []*link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for address, p := range m.peers {
@@ -128,10 +133,10 @@
 		switch {
 		case l == nil:
 		case p.hello.Zone == m.o.Zone:
-			near = append(near, l)
+			sameZone = append(sameZone, l)
 		default:
-			far = append(far, l)
+			otherZones = append(otherZones, l)
 		}
 	}
-	return near, far
+	return sameZone, otherZones
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -15,85 +15,85 @@
 )
 
 const (
-	// window is how many bytes of an answer may be under way on a stream.
+	// window is how many bytes of a response may be in transit on a stream.
 	window = answer.UnheldWindow
 	// maxDataBytes bounds the data of one frame.
 	maxDataBytes = 32 << 10
-	// writeTimeout bounds the writing of one frame; a link slower is closed.
+	// writeTimeout bounds the writing of one frame. A slower link is closed.
 	writeTimeout = 10 * time.Second
-	// outboxFrames bounds the frames waiting to be written.
+	// outboxFrames bounds the frames that wait to be written.
 	outboxFrames = 256
 )
 
-// ErrLinkClosed: the link ended. What was sent on it may or may not have arrived.
-var ErrLinkClosed = errors.New("the link to the peer was closed")
+// ErrLinkClosed reports that the link ended. What was sent on it may or may not have arrived.
+var ErrLinkClosed = errors.New("link to the peer closed")
 
-// link is one connection. Its frames are written by one goroutine and read by
-// another; send may be called by any.
+// link is one connection. One goroutine writes its frames and another reads them; send may be
+// called by any.
 type link struct {
-	conn   *websocket.Conn
-	out    chan []byte
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	since  time.Time // it is up
+	conn    *websocket.Conn
+	out     chan []byte
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	upSince time.Time // when the connection was established
 
-	mu         sync.Mutex
-	streams    map[uint64]*stream // streams opened by this side
-	next       uint64
-	heard      time.Time // when the last frame came
-	unanswered int       // requests in a row to which none came in time
-	serving    int       // requests of the peer that are open
-	asked      time.Time // when the peer last asked for anything
+	mu           sync.Mutex
+	streams      map[uint64]*stream // streams opened by this side
+	next         uint64
+	lastFrame    time.Time // when the last frame was received
+	unanswered   int       // consecutive requests without a reply in time
+	openRequests int       // requests of the peer that are open
+	lastRequest  time.Time // when the peer last sent a request
 }
 
 const (
-	// maxUnanswered requests in a row without a reply, and quietFor without any frame,
-	// make a link dead: its peer may be without power, or the link alone was silenced and
-	// frames go on coming on the one that the peer dialled. A peer that is merely slow
-	// replies late: its processor may be held back for a tenth of a second, several times
-	// in a row. Until the link ends, what was granted on it counts as taken.
+	// maxUnanswered consecutive requests without a reply, and deadSilence without any frame, make a
+	// link dead: its peer may have lost power, or only this link was silenced while frames still
+	// arrive on the one that the peer dialled. A peer that is merely slow replies late: its
+	// processor may be throttled for a tenth of a second, several times in a row. Until the link
+	// ends, slots that were granted on it count as taken.
 	maxUnanswered = 2
-	quietFor      = 500 * time.Millisecond
+	deadSilence   = 500 * time.Millisecond
 )
 
-// hear notes that a frame came.
-func (l *link) hear(now time.Time) {
+// recordFrame records that a frame was received.
+func (l *link) recordFrame(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = now
+	l.lastFrame = now
 	l.unanswered = 0
 }
 
-// lastHeard returns when the last frame came.
-func (l *link) lastHeard() time.Time {
+// lastReceived returns when the last frame was received.
+func (l *link) lastReceived() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard
+	return l.lastFrame
 }
 
-// isIdle tells whether nothing that either side has asked for on the link is open, and the
-// peer has asked for nothing for so long.
-func (l *link) isIdle(now time.Time, unasked time.Duration) bool {
+// isIdle reports whether no request of either side is open on the link, and the peer has sent none
+// for the duration unrequested.
+func (l *link) isIdle(now time.Time, unrequested time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.streams) == 0 && l.serving == 0 && now.Sub(l.asked) >= unasked
+	return len(l.streams) == 0 && l.openRequests == 0 && now.Sub(l.lastRequest) >= unrequested
 }
 
-// noteAsked notes that the peer asks for something; open tells by how many its open requests
-// have become more.
-func (l *link) noteAsked(now time.Time, open int) {
+// recordRequest records that the peer sent a request, or that one has ended; delta is the change in
+// the number of its open requests.
+func (l *link) recordRequest(now time.Time, delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = now
-	l.serving += open
+	l.lastRequest = now
+	l.openRequests += delta
 }
 
-// miss notes that a request got no reply in time, and ends the link if it is dead, or once
-// it is: no more requests may come.
-func (l *link) miss(now time.Time) {
+// recordMissedReply records that a request got no reply in time. It ends the link if it is dead, or
+// schedules a check for when it will be: there may be no further request to trigger one.
+func (l *link) recordMissedReply(now time.Time) {
 	l.mu.Lock()
 	l.unanswered++
-	left := quietFor - now.Sub(l.heard)
+	left := deadSilence - now.Sub(l.lastFrame)
 	suspect := l.unanswered >= maxUnanswered
 	l.mu.Unlock()
 	switch {
@@ -101,12 +101,12 @@
 	case left <= 0:
 		l.cancel(errSilent)
 	default:
-		time.AfterFunc(left, l.endIfDead)
+		time.AfterFunc(left, l.closeIfDead)
 	}
 }
 
-// endIfDead ends the link unless a frame has come since it was missed.
-func (l *link) endIfDead() {
+// closeIfDead ends the link unless a frame was received since the last missed reply.
+func (l *link) closeIfDead() {
 	l.mu.Lock()
 	dead := l.unanswered >= maxUnanswered
 	l.mu.Unlock()
@@ -115,43 +115,43 @@
 	}
 }
 
-// stream is a request that this side sent, and the frames of its answer. Credit
-// bounds what waits in inbox.
+// stream is a request that this side sent, with the frames of its reply. Credit bounds what waits
+// in inbox.
 type stream struct {
 	inbox chan *Frame
 }
 
 const (
-	// creditAfter is how much is read before credit is given for it. The sender
-	// always has the rest of the window meanwhile.
-	creditAfter = window / 4
-	// minCharge is what a piece counts for at least against the window, so that
-	// many small pieces can't fill an inbox.
+	// creditThreshold is the number of bytes read after which credit is sent. The sender still has
+	// the rest of the window meanwhile.
+	creditThreshold = window / 4
+	// minCharge is the least that a piece counts against the window, so that many small pieces
+	// can't fill an inbox.
 	minCharge = 256
-	// inboxFrames holds a whole window of the smallest pieces, the head and the
-	// end, so that a slow reader of one stream never blocks the link.
+	// inboxFrames holds a whole window of the smallest pieces, the head and the end, so that a slow
+	// reader of one stream never blocks the link.
 	inboxFrames = window/minCharge + 8
 )
 
-// charge is what a piece of so many bytes counts for against the window.
+// charge returns how much a piece of the given size counts against the window.
 func charge(bytes int) int { return max(bytes, minCharge) }
 
 func newLink(ctx context.Context, conn *websocket.Conn) *link {
 	conn.SetReadLimit(MaxFrameBytes)
 	ctx, cancel := context.WithCancelCause(ctx)
 	return &link{
-		conn:    conn,
-		out:     make(chan []byte, outboxFrames),
-		ctx:     ctx,
-		cancel:  cancel,
-		streams: map[uint64]*stream{},
-		heard:   boottime.Now(),
-		since:   boottime.Now(),
+		conn:      conn,
+		out:       make(chan []byte, outboxFrames),
+		ctx:       ctx,
+		cancel:    cancel,
+		streams:   map[uint64]*stream{},
+		lastFrame: boottime.Now(),
+		upSince:   boottime.Now(),
 	}
 }
 
-// run writes and reads until the link ends, and returns why. Handle is called
-// for each frame in turn and must not block for long.
+// run reads and writes frames until the link ends, and returns the cause. It calls handle for each
+// frame in turn; handle must not block for long.
 func (l *link) run(handle func(*Frame) error) error {
 	go l.writeLoop()
 	err := l.readLoop(handle)
@@ -166,7 +166,7 @@
 		if err != nil {
 			return err
 		}
-		l.hear(boottime.Now())
+		l.recordFrame(boottime.Now())
 		if err := handle(f); err != nil {
 			return err
 		}
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	if kind != websocket.MessageBinary {
-		return nil, fmt.Errorf("%w: a text message", ErrMalformedFrame)
+		return nil, fmt.Errorf("%w: unexpected text message", ErrMalformedFrame)
 	}
 	return Decode(b)
 }
@@ -202,7 +202,7 @@
 	}
 }
 
-// send hands a frame to the writer. It blocks while the outbox is full.
+// send queues a frame for writing. It blocks while the outbox is full.
 func (l *link) send(ctx context.Context, f *Frame) error {
 	b, err := Encode(f)
 	if err != nil {
@@ -218,14 +218,15 @@
 	}
 }
 
-// trySend hands a frame to the writer if the outbox has room.
+// trySend queues a frame for writing unless the outbox is full, and reports whether it did.
 func (l *link) trySend(f *Frame) bool {
 	b, err := Encode(f)
-	return err == nil && l.offer(b)
+	return err == nil && l.trySendEncoded(b)
 }
 
-// offer hands an encoded frame to the writer if the outbox has room.
-func (l *link) offer(b []byte) bool {
+// trySendEncoded queues an encoded frame for writing unless the outbox is full, and reports whether
+// it did.
+func (l *link) trySendEncoded(b []byte) bool {
 	select {
 	case l.out <- b:
 		return true
@@ -234,11 +235,11 @@
 	}
 }
 
-// open starts a stream of this side.
-func (l *link) open() (uint64, *stream) { return l.openWith(inboxFrames) }
+// openStream opens a stream of this side.
+func (l *link) openStream() (uint64, *stream) { return l.openStreamSized(inboxFrames) }
 
-// openWith starts a stream on which so many frames may wait.
-func (l *link) openWith(frames int) (uint64, *stream) {
+// openStreamSized opens a stream whose inbox holds the given number of frames.
+func (l *link) openStreamSized(frames int) (uint64, *stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
@@ -253,8 +254,7 @@
 	delete(l.streams, id)
 }
 
-// deliver hands a frame to the stream it belongs to. Frames of a stream already
-// closed are dropped.
+// deliver passes a frame to its stream. Frames of closed streams are dropped.
 func (l *link) deliver(f *Frame) {
 	l.mu.Lock()
 	s := l.streams[f.Stream]
@@ -268,7 +268,7 @@
 	}
 }
 
-// next waits for the next frame of a stream.
+// nextFrame blocks until the next frame of a stream arrives, the link ends or ctx ends.
 func (l *link) nextFrame(ctx context.Context, s *stream) (*Frame, error) {
 	select {
 	case f := <-s.inbox:
--- /dev/null
+++ b/internal/peer/membership_updates.go
@@ -0,0 +1,86 @@
+package peer
+
+import (
+	"time"
+
+	"github.com/tacktally/tacktally/internal/boottime"
+
+	"github.com/tacktally/tacktally/internal/membership"
+)
+
+// mergeMembership merges a membership update from a peer.
+func (m *Mesh) mergeMembership(from string, update *membership.Telling) {
+	if m.sparse == nil || from == "" {
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.sparse.overlay.Hear(boottime.Now(), from, update)
+	m.sparse.notify()
+}
+
+// sendUpdates sends each linked peer the membership updates that it is due.
+func (m *Mesh) sendUpdates(now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	overlay := m.sparse.overlay
+	overlay.Drain(m.sparse.draining)
+	overlay.Tick(now)
+	encoded := map[updateCursor][]byte{}
+	for address, p := range m.peers {
+		if l := m.liveLink(address, p); l != nil {
+			m.sendUpdatesTo(now, address, p, l, encoded)
+		}
+	}
+}
+
+// sendUpdatesTo sends a peer the changes since its last update, and a bootstrap update if it needs
+// one. The caller holds the lock.
+func (m *Mesh) sendUpdatesTo(now time.Time, address string, p *peerState, l *link, encoded map[updateCursor][]byte) {
+	overlay, c := m.sparse.overlay, &p.control
+	if c.updateLink != l {
+		c.updateLink, c.updatesSent, c.bootstrapSent = l, updateCursor{}, updateCursor{kind: membership.Introduced}
+	}
+	kind := overlay.KindFor(now, address)
+	if c.updatesSent.kind != kind {
+		c.updatesSent = updateCursor{kind: kind}
+		m.sendUpdateOn(now, l, &c.updatesSent, encoded)
+	} else if kind != membership.Nothing {
+		m.sendUpdateOn(now, l, &c.updatesSent, encoded)
+	}
+	dialledBy := m.accepted[address] != nil
+	if dialledBy && overlay.Introduces(now, address, max(p.hello.KnownPeers, p.lastHeartbeat.KnownPeers)) {
+		m.sendUpdateOn(now, l, &c.bootstrapSent, encoded)
+	}
+}
+
+// sendUpdateOn sends the changes beyond the cursor on a link and advances the cursor, unless the
+// outbox is full. The caller holds the lock.
+func (m *Mesh) sendUpdateOn(now time.Time, l *link, cursor *updateCursor, encoded map[updateCursor][]byte) {
+	change := m.sparse.overlay.Change()
+	if cursor.change == change && change > 0 {
+		return
+	}
+	b, known := encoded[*cursor]
+	if !known {
+		b = m.encodeUpdate(now, *cursor)
+		encoded[*cursor] = b
+	}
+	if b == nil || l.trySendEncoded(b) { // otherwise the next update includes the changes
+		cursor.change = change
+	}
+}
+
+// encodeUpdate returns the encoded update from a cursor on; nil if there are no changes. The caller
+// holds the lock.
+func (m *Mesh) encodeUpdate(now time.Time, cursor updateCursor) []byte {
+	update, _ := m.sparse.overlay.Tell(now, cursor.kind, cursor.change)
+	if len(update.News) == 0 && !update.Full {
+		return nil
+	}
+	b, err := Encode(&Frame{Type: TypeMembership, Membership: update})
+	if err != nil {
+		panic("peer: a membership update must always encode: " + err.Error())
+	}
+	return b
+}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -23,57 +23,58 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// Handler is what a mesh serves its peers with. Its methods are called by several
-// goroutines at once and must not block; Serve returns a buffer that is still being
-// made.
+// Handler serves the requests and consumes the updates of peers. Its methods are called
+// concurrently and must not block, except ServeSlot; Serve returns a buffer that is still being
+// filled.
 type Handler interface {
 	// Serve serves a request that a peer forwarded.
 	Serve(ctx context.Context, r *request.Request) *answer.Buffer
-	// State returns what is handed over to a peer, by what it says that it has.
+	// State returns the state to send to a peer, given what the peer already has.
 	State(f *FetchRequest) *State
-	// FetchRequest returns what to say of the state at hand when a peer is asked for its own.
+	// FetchRequest returns the request with which a peer's state is fetched.
 	FetchRequest() *FetchRequest
-	// MergeState takes over what a peer handed over when it was asked at a time.
-	MergeState(from string, asked time.Time, s *State)
-	// Heartbeat returns what to tell the peers now.
+	// MergeState merges the state of a peer that was requested at the given time.
+	MergeState(from string, requestedAt time.Time, s *State)
+	// Heartbeat returns the heartbeat to send now.
 	Heartbeat() *Heartbeat
 	// HandleHeartbeat is called for each heartbeat of a peer.
 	HandleHeartbeat(from string, h *Heartbeat)
 	// HandlePressure is called when a peer is about to shed work for lack of capacity.
 	HandlePressure(p Pressure)
-	// ServeSlot decides on a slot that a peer asks for, and blocks until the slot is
-	// given back or ctx ends: the peer has cancelled or its link is gone.
+	// ServeSlot decides on a slot that a peer requests, and blocks until the slot is returned or
+	// ctx ends, because the peer cancelled or its link ended.
 	ServeSlot(ctx context.Context, r *SlotRequest, s *SlotStream)
-	// ServeQuota answers a peer that asks for tokens, and QuotaReturned takes some back.
+	// ServeQuota replies to a request for tokens, and HandleQuotaReturn takes tokens back.
 	ServeQuota(r *QuotaRequest) *QuotaReply
 	HandleQuotaReturn(r *QuotaReturn)
-	// LinkLost is called when the link to a peer has ended, which may come back.
+	// LinkLost is called when the link to a peer has ended. The link may come back.
 	LinkLost(address string)
-	// PeerLost is called once when a peer wasn't heard of for SuspectAfter.
+	// PeerLost is called once when a peer wasn't seen for SuspectAfter.
 	PeerLost(address string)
 }
 
-// Options of a Mesh.
+// Options configure a Mesh.
 type Options struct {
-	// Address under which peers reach this instance, and where it listens.
+	// Address is the address under which peers reach this instance, and Listen the one on which it
+	// listens.
 	Address     string
 	Listen      string
 	Zone        string
 	Incarnation uint64
-	// Cores is the processor time that this instance has, in cores; 0 is unknown.
+	// Cores is the processor time that this instance has, in cores; 0 means unknown.
 	Cores     float64
 	Heartbeat time.Duration
-	// CrossZoneEvery is how often peers of other availability zones are sent a whole heartbeat:
-	// one in so many. The others are brief. 0 and 1 are each time.
+	// CrossZoneEvery makes one heartbeat in that many to peers of other availability zones a whole
+	// one; the others are brief. With 0 or 1 all are whole.
 	CrossZoneEvery int
-	// SuspectAfter is the silence after which a peer isn't reachable.
+	// SuspectAfter is the silence after which a peer counts as unreachable.
 	SuspectAfter time.Duration
 	Handler      Handler
 	Log          *log.Logger
-	// Sparse keeps links only with those that package membership says, and makes more on
-	// use. The addresses of SetPeers are seeds then.
+	// Sparse keeps links only to the peers that package membership selects, and dials others on
+	// use. The addresses of SetPeers are then the seeds.
 	Sparse bool
-	// TLS makes the configuration of each link that is dialled; nil makes links plain.
+	// TLS returns the configuration for each link that is dialled; with nil, links are unencrypted.
 	TLS func() *tls.Config
 }
 
@@ -81,23 +82,22 @@
 	dialTimeout = 2 * time.Second
 	firstRedial = 50 * time.Millisecond
 	maxRedial   = 2 * time.Second
-	// forgetAfter is the silence after which a peer that isn't on the list is no
-	// longer dialled.
+	// forgetAfter is the silence after which a peer that isn't listed is no longer dialled.
 	forgetAfter = time.Minute
-	// fetchTimeout bounds the handing over of state. A link on which nothing comes in it may
+	// fetchTimeout bounds a fetch of a peer's state. A link on which nothing arrives within it may
 	// be dead.
 	fetchTimeout = 2 * time.Second
-	// fetchPatience is how long a fetch in the background holds back others: a fleet in which
-	// all announce the same change hands it over once, and a link that went silent holds up no
-	// news that others have. Peers answer within some milliseconds, and one whose processor
-	// is held back within a tenth of a second.
-	fetchPatience = 300 * time.Millisecond
+	// maxFetchDelay is how long a background fetch delays others. With the delay, a change that the
+	// whole fleet announces is fetched once; with the bound, a silent link doesn't delay an update
+	// that other peers have. Peers reply within some milliseconds, and one whose processor is
+	// throttled within a tenth of a second.
+	maxFetchDelay = 300 * time.Millisecond
 )
 
-// ErrUnreachable: no link to the peer is up.
+// ErrUnreachable reports that no link to the peer is up.
 var ErrUnreachable = errors.New("no link to the peer")
 
-// Mesh holds the links of one instance. Safe for concurrent use.
+// Mesh holds the links of one instance to its peers. It is safe for concurrent use.
 type Mesh struct {
 	o       Options
 	ctx     context.Context
@@ -105,42 +105,42 @@
 	wg      sync.WaitGroup
 	started time.Time
 
-	mu       sync.Mutex
-	peers    map[string]*peerState
-	accepted map[string]*link // the last link that each peer dialled
-	fetches  int              // that are under way in the background
-	fetched  time.Time        // when the last of them began
-	// fetchNext is the peer to be asked once the last of them has ended or is slow, "" for none.
-	fetchNext string
-	sparse    *sparse // nil where all are linked to all
+	mu            sync.Mutex
+	peers         map[string]*peerState
+	accepted      map[string]*link // the last link that each peer dialled
+	activeFetches int              // background fetches in progress
+	lastFetch     time.Time        // when the last of them began
+	// pendingFetch is the peer to fetch from once the last fetch has ended or is slow; "" for none.
+	pendingFetch string
+	sparse       *sparseState // nil in a full mesh
 }
 
 type peerState struct {
-	hello     Hello
-	since     time.Time // it is known
-	started   time.Time // it itself, by its word; zero before it was heard
-	listed    bool
-	lastHeard time.Time
-	silent    bool // the handler was told
-	last      Heartbeat
-	link      *link // dialled by this side, nil while down
-	stop      context.CancelFunc
-	tended    tended // where links are few
+	hello         Hello
+	knownSince    time.Time // when this instance first learned of the peer
+	started       time.Time // when the peer started, by its hello; zero before that
+	listed        bool
+	lastSeen      time.Time
+	silent        bool // whether the handler was notified of the silence
+	lastHeartbeat Heartbeat
+	link          *link // dialled by this side; nil while down
+	stop          context.CancelFunc
+	control       linkControl // used in a sparse mesh only
 }
 
-// NewMesh returns a mesh without peers. Close ends it.
+// NewMesh returns a mesh without peers and starts to send heartbeats. Close stops it.
 func NewMesh(o Options) *Mesh {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Mesh{o: o, started: boottime.Now(), ctx: ctx, cancel: cancel, peers: map[string]*peerState{}, accepted: map[string]*link{}}
 	if o.Sparse {
-		m.sparse = newSparse(m)
-		m.wg.Go(m.tend)
+		m.sparse = newSparseState(m)
+		m.wg.Go(m.maintainLinks)
 	}
-	m.wg.Go(m.beat)
+	m.wg.Go(m.heartbeatLoop)
 	return m
 }
 
-// Close ends all links.
+// Close ends all links and waits for the mesh's goroutines.
 func (m *Mesh) Close() {
 	m.cancel()
 	m.wg.Wait()
@@ -150,65 +150,67 @@
 	return &Hello{Address: m.o.Address, Zone: m.o.Zone, Incarnation: m.o.Incarnation, Cores: m.o.Cores, KnownPeers: m.PeerCount(), Age: boottime.Since(m.started)}
 }
 
-// SetPeers sets the peers to be linked to. One that isn't among them any more, or
-// isn't yet, is linked to as long as it is heard of: the list lags.
+// SetPeers sets the listed peers, to which links are kept. A peer that isn't listed, or no longer,
+// keeps its link while heartbeats arrive from it, since the list lags behind. In a sparse mesh the
+// addresses are the seeds.
 func (m *Mesh) SetPeers(addresses []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sparse != nil {
-		m.sparse.plan.SetSeeds(addresses)
-		m.sparse.kick()
+		m.sparse.overlay.SetSeeds(addresses)
+		m.sparse.notify()
 		return
 	}
 	for _, p := range m.peers {
 		p.listed = false
 	}
 	for _, address := range addresses {
-		if p := m.link(address); p != nil {
+		if p := m.ensurePeer(address); p != nil {
 			p.listed = true
 		}
 	}
 }
 
-// link returns the state of a peer, new where it wasn't known, and keeps dialling
-// it. The caller holds the lock. It returns nil for this instance itself.
-func (m *Mesh) link(address string) *peerState {
+// ensurePeer returns the state of a peer and creates it if the peer is new. In a full mesh it then
+// keeps dialling the peer. It returns nil for this instance itself and once the mesh is closed. The
+// caller holds the lock.
+func (m *Mesh) ensurePeer(address string) *peerState {
 	if address == m.o.Address || m.ctx.Err() != nil {
 		return nil
 	}
 	p := m.peers[address]
 	if p == nil && m.sparse != nil {
-		p = &peerState{hello: Hello{Address: address}, since: boottime.Now(), stop: func() {}}
+		p = &peerState{hello: Hello{Address: address}, knownSince: boottime.Now(), stop: func() {}}
 		m.peers[address] = p
 	}
 	if p == nil {
 		ctx, stop := context.WithCancel(m.ctx)
-		p = &peerState{hello: Hello{Address: address}, since: boottime.Now(), stop: stop}
+		p = &peerState{hello: Hello{Address: address}, knownSince: boottime.Now(), stop: stop}
 		m.peers[address] = p
 		m.wg.Go(func() { m.keepLinked(ctx, address) })
 	}
 	return p
 }
 
-// keepLinked dials a peer again and again until ctx ends.
+// keepLinked dials a peer repeatedly until ctx ends.
 func (m *Mesh) keepLinked(ctx context.Context, address string) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstRedial
-	pause.MaxInterval = maxRedial
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = firstRedial
+	delays.MaxInterval = maxRedial
 	for ctx.Err() == nil {
 		up, err := m.dial(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
-		m.linkEnded(address, "dialled", err)
+		m.logLinkEnded(address, "dialled", err)
 		if up {
-			pause.Reset()
+			delays.Reset()
 		}
-		wait.For(ctx, pause.NextBackOff())
+		wait.For(ctx, delays.NextBackOff())
 	}
 }
 
-// dial makes a link and runs it until it ends. Up tells whether it came up.
+// dial establishes a link and serves it until it ends. It reports whether the link came up.
 func (m *Mesh) dial(ctx context.Context, address string) (up bool, err error) {
 	scheme := "ws://"
 	transport := &http.Transport{DialContext: m.dialer().DialContext, DisableKeepAlives: true}
@@ -233,28 +235,28 @@
 		conn.CloseNow()
 		return false, err
 	}
-	s := newServed(m, l, address)
-	defer s.endAll()
+	s := newServedLink(m, l, address)
+	defer s.closeStreams()
 	err = l.run(func(f *Frame) error { return m.handleDialled(s, address, f) })
 	m.mu.Lock()
 	if p := m.peers[address]; p != nil && p.link == l {
 		p.link = nil
 	}
 	m.mu.Unlock()
-	m.linkLost(address)
+	m.reportLinkLost(address)
 	return true, err
 }
 
-// linkLost tells that a link to a peer has ended.
-func (m *Mesh) linkLost(address string) {
+// reportLinkLost updates the membership and notifies the handler after a link to a peer has ended.
+func (m *Mesh) reportLinkLost(address string) {
 	if m.sparse != nil {
-		m.unlink(address)
+		m.recordUnlinked(address)
 	}
 	m.o.Handler.LinkLost(address)
 }
 
-// dialer makes links come from the IP number of the peers' listener, so that
-// rules of the network can name it.
+// dialer returns a dialer whose connections come from the IP address of the peer listener, so that
+// network rules can name it.
 func (m *Mesh) dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepalive.Config(), Control: keepalive.Control}
 	if a, err := netip.ParseAddrPort(m.o.Listen); err == nil && !a.Addr().IsUnspecified() {
@@ -264,54 +266,55 @@
 }
 
 // handleDialled handles a frame on a link that this side dialled.
-func (m *Mesh) handleDialled(s *served, address string, f *Frame) error {
+func (m *Mesh) handleDialled(s *servedLink, address string, f *Frame) error {
 	l := s.link
 	if f.Type != TypeHello {
 		return s.handle(f)
 	}
 	if f.Hello.Address != address {
-		return fmt.Errorf("%w: dialled %s, which calls itself %s; correct its peers.advertise", ErrMalformedFrame, address, f.Hello.Address)
+		return fmt.Errorf("%w: dialled %s, whose hello has the address %s; correct its peers.advertise", ErrMalformedFrame, address, f.Hello.Address)
 	}
-	m.heard(*f.Hello, l)
+	m.recordHello(*f.Hello, l)
 	l.trySend(&Frame{Type: TypeHeartbeat, Heartbeat: m.o.Handler.Heartbeat()})
 	return nil
 }
 
-// heard notes a hello; with a link, that the link to the peer is up.
-func (m *Mesh) heard(h Hello, l *link) {
+// recordHello records a peer's hello, and the link if it isn't nil.
+func (m *Mesh) recordHello(h Hello, l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.link(h.Address)
+	p := m.ensurePeer(h.Address)
 	if p == nil {
 		return
 	}
 	if p.hello.Incarnation != h.Incarnation {
-		p.last = Heartbeat{}
+		p.lastHeartbeat = Heartbeat{}
 	}
 	p.hello = h
-	p.lastHeard = boottime.Now()
-	p.started = p.lastHeard.Add(-h.Age)
+	p.lastSeen = boottime.Now()
+	p.started = p.lastSeen.Add(-h.Age)
 	if l != nil {
 		p.link = l
 	}
 	if m.sparse != nil {
-		m.linkedTo(p)
+		m.recordLinked(p)
 	}
 }
 
-func (m *Mesh) linkEnded(address, side string, err error) {
+func (m *Mesh) logLinkEnded(address, side string, err error) {
 	if m.ctx.Err() != nil {
 		return
 	}
-	m.o.Log.Debug().Str("event", "peer_link_down").Str("peer", address).Str("side", side).Str("cause", fmt.Sprint(err)).Msg("")
+	m.o.Log.Debug().Str("event", "peer_link_down").Str("peer", address).Str("side", side).Str("cause", fmt.Sprint(err)).Msg("link to the peer ended or could not be established")
 }
 
-var errSilent = errors.New("the peer was silent for too long")
+var errSilent = errors.New("peer silent for too long")
 
-// IsLinked tells whether the link to a peer is up and the peer was heard of lately.
-func (m *Mesh) IsLinked(address string) bool { return m.linkTo(address) != nil }
+// IsLinked reports whether the link to a peer is up and the peer was seen within SuspectAfter.
+func (m *Mesh) IsLinked(address string) bool { return m.reachableLink(address) != nil }
 
-func (m *Mesh) linkTo(address string) *link {
+// reachableLink returns the link to a peer if IsLinked, nil otherwise.
+func (m *Mesh) reachableLink(address string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[address]
@@ -326,8 +329,8 @@
 	return nil
 }
 
-// isReachable tells whether the link is up and the peer was heard of lately. The
-// caller holds the lock.
+// isReachable reports, in a full mesh, whether the link is up and the peer was seen within
+// SuspectAfter. The caller holds the lock.
 func (m *Mesh) isReachable(p *peerState) bool {
-	return p.link != nil && p.link.ctx.Err() == nil && boottime.Since(p.lastHeard) < m.o.SuspectAfter
+	return p.link != nil && p.link.ctx.Err() == nil && boottime.Since(p.lastSeen) < m.o.SuspectAfter
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,13 +23,14 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// handler answers each request with what its Path asks for.
+// handler is a Handler whose responses depend on the request: it echoes the body in pieces, and
+// holds a request for the path /held.
 type handler struct {
-	hold    chan struct{}
-	begun   chan struct{} // received from when a held request has come
-	served  atomic.Int32
-	learned chan *State
-	slots   chan string // what became of slots
+	hold   chan struct{}
+	begun  chan struct{} // receives a value when a held request has arrived
+	served atomic.Int32
+	merged chan *State
+	slots  chan string // what happened to slots
 }
 
 func (h *handler) Serve(ctx context.Context, r *request.Request) *answer.Buffer {
@@ -55,7 +56,7 @@
 
 func (h *handler) State(*FetchRequest) *State                 { return &State{Revision: 7, Content: []byte("seven")} }
 func (h *handler) FetchRequest() *FetchRequest                { return &FetchRequest{} }
-func (h *handler) MergeState(_ string, _ time.Time, s *State) { h.learned <- s }
+func (h *handler) MergeState(_ string, _ time.Time, s *State) { h.merged <- s }
 func (h *handler) Heartbeat() *Heartbeat                      { return &Heartbeat{Revision: 7} }
 func (h *handler) HandleHeartbeat(string, *Heartbeat)         {}
 func (h *handler) HandlePressure(Pressure)                    {}
@@ -66,7 +67,7 @@
 	return &QuotaReply{Granted: r.Tokens < 100, Wait: time.Duration(r.Tokens)}
 }
 
-// ServeSlot answers by the service's name, and notes how the slot ended.
+// ServeSlot decides by the name of the service, and records how the slot ended.
 func (h *handler) ServeSlot(ctx context.Context, r *SlotRequest, s *SlotStream) {
 	switch r.Service {
 	case "silent":
@@ -98,7 +99,7 @@
 	}
 }
 
-// pair is two linked instances.
+// pair is two instances with a link in each direction.
 type pair struct {
 	a, b     *Mesh
 	ha, hb   *handler
@@ -121,7 +122,7 @@
 }
 
 func newPair(t *testing.T) *pair {
-	p := &pair{ha: &handler{learned: make(chan *State, 9)}, hb: &handler{hold: make(chan struct{}), begun: make(chan struct{}), slots: make(chan string, 9)}}
+	p := &pair{ha: &handler{merged: make(chan *State, 9)}, hb: &handler{hold: make(chan struct{}), begun: make(chan struct{}), slots: make(chan string, 9)}}
 	var addressA string
 	p.a, addressA = newMesh(t, p.ha)
 	p.b, p.addressB = newMesh(t, p.hb)
@@ -135,7 +136,7 @@
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for p.a.linkTo(p.addressB) == nil {
+	for p.a.reachableLink(p.addressB) == nil {
 		select {
 		case <-tick.C:
 		case <-t.Context().Done():
@@ -144,8 +145,8 @@
 	}
 }
 
-// held returns a request that has just been received.
-func held(path string, body []byte) *request.Request {
+// newRequest returns a request that has just been received.
+func newRequest(path string, body []byte) *request.Request {
 	r := &request.Request{ID: "r", Path: path, Body: body, Timeout: time.Minute}
 	r.Received(time.Now())
 	return r
@@ -153,7 +154,7 @@
 
 func (p *pair) forward(ctx context.Context, path, body string) (string, error) {
 	b := answer.New(true)
-	_, err := p.a.Forward(ctx, p.addressB, held(path, []byte(body)), b)
+	_, err := p.a.Forward(ctx, p.addressB, newRequest(path, []byte(body)), b)
 	if err != nil {
 		return "", err
 	}
@@ -171,9 +172,9 @@
 	}
 }
 
-// Many answers at once on one link, larger than the window and in many small
-// pieces, each come whole to the request they belong to.
-func TestForwardKeepsAnswersApart(t *testing.T) {
+// Concurrent responses on one link, larger than the window and in many small pieces, each reach
+// their own request completely.
+func TestForwardKeepsConcurrentResponsesApart(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	var all sync.WaitGroup
@@ -193,8 +194,8 @@
 	is.Equal(p.hb.served.Load(), int32(40))
 }
 
-// A stream whose reader doesn't read holds up no other on the link.
-func TestSlowReaderBlocksNoOther(t *testing.T) {
+// A stream whose response isn't read doesn't block the others on the link.
+func TestSlowReaderDoesNotBlockOtherStreams(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -202,7 +203,7 @@
 	unread := answer.New(false)
 	stuck := make(chan error, 1)
 	go func() {
-		_, err := p.a.Forward(ctx, p.addressB, held("/", bytes.Repeat([]byte("x;"), 1<<20)), unread)
+		_, err := p.a.Forward(ctx, p.addressB, newRequest("/", bytes.Repeat([]byte("x;"), 1<<20)), unread)
 		stuck <- err
 	}()
 	for range 10 {
@@ -214,68 +215,67 @@
 	is.True(<-stuck != nil)
 }
 
-func TestFetchHandsStateOver(t *testing.T) {
+func TestFetchPassesStateToHandler(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	is.NoErr(p.a.Fetch(t.Context(), p.addressB))
-	s := <-p.ha.learned
+	s := <-p.ha.merged
 	is.Equal(s.Revision, int64(7))
 	is.Equal(string(s.Content), "seven")
 }
 
-// A link that ends tells those who wait on it, and comes back by itself.
-// stuck is a peer that says nothing of its state.
-type stuck struct {
+// stuckHandler doesn't return its state until hold is closed.
+type stuckHandler struct {
 	handler
-	asked chan struct{}
+	requested chan struct{}
 }
 
-func (s *stuck) State(*FetchRequest) *State {
-	close(s.asked)
+func (s *stuckHandler) State(*FetchRequest) *State {
+	close(s.requested)
 	<-s.hold
 	return &State{}
 }
 
-// A fetch on a link that went silent holds up no news that another peer has.
-func TestAPeerThatDoesNotAnswerHoldsUpNoOther(t *testing.T) {
+// A fetch on a link that went silent doesn't delay an update that another peer has.
+func TestUnresponsivePeerDoesNotDelayFetchFromAnother(t *testing.T) {
 	is := is.New(t)
-	h := &handler{learned: make(chan *State, 9)}
+	h := &handler{merged: make(chan *State, 9)}
 	a, _ := newMesh(t, h)
-	silent := &stuck{handler: handler{hold: make(chan struct{})}, asked: make(chan struct{})}
+	silent := &stuckHandler{handler: handler{hold: make(chan struct{})}, requested: make(chan struct{})}
 	_, silentAt := newMesh(t, silent)
 	_, answersAt := newMesh(t, &handler{})
 	defer close(silent.hold)
 	a.SetPeers([]string{silentAt, answersAt})
-	eventually(t, func() bool { return a.linkTo(silentAt) != nil && a.linkTo(answersAt) != nil })
+	eventually(t, func() bool { return a.reachableLink(silentAt) != nil && a.reachableLink(answersAt) != nil })
 	a.ScheduleFetch(silentAt)
-	<-silent.asked
+	<-silent.requested
 	eventually(t, func() bool {
 		a.ScheduleFetch(answersAt)
-		return len(h.learned) > 0
+		return len(h.merged) > 0
 	})
-	is.Equal((<-h.learned).Revision, int64(7))
-	is.Equal(a.linkTo(silentAt).unansweredNow(), 0) // its fetch is still under way
+	is.Equal((<-h.merged).Revision, int64(7))
+	is.Equal(a.reachableLink(silentAt).unansweredNow(), 0) // its fetch is still in progress
 }
 
-// Two instances tell of news one right after the other: a change of the configuration and one of the
-// list. What the second one has is fetched once the first has answered; its next heartbeat, a half or
-// a whole second later, is not waited for.
-func TestNewsThatIsToldDuringAFetchIsFetchedNext(t *testing.T) {
+// Two instances announce a change one right after the other, one of the configuration and one of
+// the list. The second one's state is fetched as soon as the first has replied, not at its next
+// heartbeat half a second or a second later.
+func TestFetchScheduledDuringAFetchRunsNext(t *testing.T) {
 	is := is.New(t)
-	h := &handler{learned: make(chan *State, 9)}
+	h := &handler{merged: make(chan *State, 9)}
 	a, _ := newMesh(t, h)
-	slow := &stuck{handler: handler{hold: make(chan struct{})}, asked: make(chan struct{})}
+	slow := &stuckHandler{handler: handler{hold: make(chan struct{})}, requested: make(chan struct{})}
 	_, slowAt := newMesh(t, slow)
 	_, answersAt := newMesh(t, &handler{})
 	a.SetPeers([]string{slowAt, answersAt})
-	eventually(t, func() bool { return a.linkTo(slowAt) != nil && a.linkTo(answersAt) != nil })
+	eventually(t, func() bool { return a.reachableLink(slowAt) != nil && a.reachableLink(answersAt) != nil })
 	a.ScheduleFetch(slowAt)
-	<-slow.asked
+	<-slow.requested
 	a.ScheduleFetch(answersAt)
 	close(slow.hold)
-	eventually(t, func() bool { return len(h.learned) == 2 })
-	is.Equal((<-h.learned).Revision, int64(0))
-	is.Equal((<-h.learned).Revision, int64(7))
+	eventually(t, func() bool { return len(h.merged) == 2 })
+	is.Equal((<-h.merged).Revision, int64(0))
+	is.Equal((<-h.merged).Revision, int64(7))
 }
 
 func (l *link) unansweredNow() int {
@@ -284,7 +284,8 @@
 	return l.unanswered
 }
 
-func TestLinkEndsAndReturns(t *testing.T) {
+// When a link ends, requests that wait on it fail, and the link is dialled again.
+func TestLinkIsRedialledAfterItEnds(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	failed := make(chan error, 1)
@@ -292,7 +293,7 @@
 		_, err := p.forward(t.Context(), "/held", "x")
 		failed <- err
 	}()
-	l := p.a.linkTo(p.addressB)
+	l := p.a.reachableLink(p.addressB)
 	<-p.hb.begun
 	l.cancel(errSilent)
 	is.True(errors.Is(<-failed, errSilent))
@@ -302,8 +303,8 @@
 	is.Equal(got, "again")
 }
 
-// A bad frame closes its link, on either side, and only that.
-func TestBadFramesCloseTheLink(t *testing.T) {
+// An invalid frame closes its link, whichever side sent it, and nothing else.
+func TestInvalidFrameClosesItsLink(t *testing.T) {
 	old, _ := Encode(&Frame{Type: TypeCancel, Stream: 1})
 	for name, message := range map[string][]byte{
 		"garbage":           []byte("garbage"),
@@ -326,7 +327,7 @@
 	}
 }
 
-func TestDecodeNamesTheFault(t *testing.T) {
+func TestDecodeReportsTheKindOfError(t *testing.T) {
 	is := is.New(t)
 	version := mustEncode(t, &Frame{Type: TypeCancel, Stream: 1})
 	version[2] = 9
@@ -366,10 +367,10 @@
 		}
 		again, err := Encode(frame)
 		if err != nil {
-			t.Fatalf("a decoded frame doesn't encode: %v", err)
+			t.Fatalf("decoded frame does not encode: %v", err)
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("an encoded frame doesn't decode: %v", err)
+			t.Fatalf("encoded frame does not decode: %v", err)
 		}
 	})
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -14,10 +14,10 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// Path under which an instance accepts links.
+// Path is the URL path under which an instance accepts links.
 const Path = "/peer"
 
-// maxStreams bounds the requests served at once on one link.
+// maxStreams bounds the concurrent requests of the peer on one link.
 const maxStreams = 4096
 
 // ServeHTTP accepts a link from a peer and serves it until it ends.
@@ -27,39 +27,39 @@
 		return
 	}
 	l := newLink(m.ctx, conn)
-	s := newServed(m, l, "")
-	defer s.endAll()
+	s := newServedLink(m, l, "")
+	defer s.closeStreams()
 	err = l.run(s.handle)
-	m.releaseAccepted(s.peer, l)
-	m.linkEnded(s.peer, "accepted", err)
+	m.removeAccepted(s.peer, l)
+	m.logLinkEnded(s.peer, "accepted", err)
 	if m.sparse != nil && s.peer != "" {
-		m.linkLost(s.peer)
+		m.reportLinkLost(s.peer)
 	}
 }
 
-func newServed(m *Mesh, l *link, peer string) *served {
-	return &served{mesh: m, link: l, peer: peer, cancels: map[uint64]*servedStream{}}
+func newServedLink(m *Mesh, l *link, peer string) *servedLink {
+	return &servedLink{mesh: m, link: l, peer: peer, streams: map[uint64]*servedStream{}}
 }
 
 // errReplaced ends a link whose peer has dialled another one.
-var errReplaced = errors.New("the peer has dialled another link")
+var errReplaced = errors.New("link replaced by one that the peer dialled")
 
-// noteAccepted notes the link that a peer dialled. The one before is dead to the peer, also
-// where this side hasn't noticed: what the peer holds on it would count here and, told by
-// the peer, once more.
-func (m *Mesh) noteAccepted(address string, l *link) {
+// registerAccepted records the link that a peer dialled and ends the previous one. The peer has
+// given that one up, even if this side hasn't noticed its end: slots that the peer holds on it
+// would count here, and again through the peer's heartbeats.
+func (m *Mesh) registerAccepted(address string, l *link) {
 	m.mu.Lock()
-	before := m.accepted[address]
+	previous := m.accepted[address]
 	m.accepted[address] = l
 	m.replaceDialled(address)
 	m.mu.Unlock()
-	if before != nil && before != l {
-		before.cancel(errReplaced)
+	if previous != nil && previous != l {
+		previous.cancel(errReplaced)
 	}
 }
 
-// releaseAccepted forgets a link that has ended, unless another one took its place.
-func (m *Mesh) releaseAccepted(address string, l *link) {
+// removeAccepted removes a link that has ended, unless another one has replaced it.
+func (m *Mesh) removeAccepted(address string, l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.accepted[address] == l {
@@ -67,36 +67,37 @@
 	}
 }
 
-// served is the side of a link that answers what the peer asks: of one that a peer dialled,
-// and, where one link serves a pair, of one that this side dialled.
-type served struct {
+// servedLink is the serving side of a link: it answers the peer's requests. Every link that a peer
+// dialled has one, and in a sparse mesh, where one link serves both directions, those that this
+// side dialled use it too.
+type servedLink struct {
 	mesh *Mesh
 	link *link
 	peer string
 
 	mu      sync.Mutex
-	cancels map[uint64]*servedStream
+	streams map[uint64]*servedStream
 }
 
 type servedStream struct {
 	cancel context.CancelFunc
-	credit *credit     // of a request's answer
-	slot   chan *Frame // what the peer says of a slot
+	credit *credit     // for the response to a request
+	slot   chan *Frame // the peer's frames about a slot
 }
 
-func (s *served) handle(f *Frame) error {
+func (s *servedLink) handle(f *Frame) error {
 	switch f.Type {
 	case TypeHello:
 		s.peer = f.Hello.Address
 		if f.Hello.DialledAddress == s.mesh.o.Address {
-			s.mesh.noteAccepted(s.peer, s.link) // under another address it will hang up
+			s.mesh.registerAccepted(s.peer, s.link) // a peer that dialled another address will close the link
 		}
-		s.mesh.heard(*f.Hello, nil)
-		return s.greet()
+		s.mesh.recordHello(*f.Hello, nil)
+		return s.sendHello()
 	case TypeHeartbeat:
-		s.mesh.heartbeat(s.peer, f.Heartbeat)
+		s.mesh.receiveHeartbeat(s.peer, f.Heartbeat)
 	case TypeQuotaRequest:
-		s.link.noteAsked(boottime.Now(), 0)
+		s.link.recordRequest(boottime.Now(), 0)
 		return s.link.send(s.link.ctx, &Frame{Type: TypeQuotaReply, Stream: f.Stream, QuotaReply: s.mesh.o.Handler.ServeQuota(f.QuotaRequest)})
 	case TypeQuotaReturn:
 		s.mesh.o.Handler.HandleQuotaReturn(f.QuotaReturn)
@@ -106,34 +107,34 @@
 	case TypeFetch:
 		return s.link.send(s.link.ctx, &Frame{Type: TypeState, Stream: f.Stream, State: s.mesh.o.Handler.State(f.Fetch)})
 	case TypeOpen:
-		s.start(f)
+		s.startRequest(f)
 	case TypeCancel:
-		s.stop(f.Stream)
+		s.closeStream(f.Stream)
 	case TypeCredit:
 		if st := s.stream(f.Stream); st != nil && st.credit != nil {
 			st.credit.add(f.Credit)
 		}
 	case TypeSlotRequest:
-		s.startSlot(f)
+		s.startSlotRequest(f)
 	case TypeSlotStarted, TypeSlotReleased:
 		if st := s.stream(f.Stream); st != nil && st.slot != nil {
 			select {
 			case st.slot <- f:
-			default: // more than a peer may say of a slot
+			default: // exceeds what a peer may send for a slot
 				return fmt.Errorf("%w: too many frames for one slot", ErrMalformedFrame)
 			}
 		}
 	case TypeMembership:
-		s.mesh.learnMembers(s.peer, f.Membership)
-	default: // it answers what this side has asked
+		s.mesh.mergeMembership(s.peer, f.Membership)
+	default: // a reply to a request of this side
 		s.link.deliver(f)
 	}
 	return nil
 }
 
-// greet answers a hello. Where one link serves both directions, what is known here is told
-// at once: the peer may have just started.
-func (s *served) greet() error {
+// sendHello replies to a hello. In a sparse mesh, where one link serves both directions, it adds a
+// heartbeat at once: the peer may have just started.
+func (s *servedLink) sendHello() error {
 	err := s.link.send(s.link.ctx, &Frame{Type: TypeHello, Hello: s.mesh.hello()})
 	if err != nil || s.mesh.sparse == nil {
 		return err
@@ -141,41 +142,41 @@
 	return s.link.send(s.link.ctx, &Frame{Type: TypeHeartbeat, Heartbeat: s.mesh.o.Handler.Heartbeat()})
 }
 
-func (s *served) stream(id uint64) *servedStream {
+func (s *servedLink) stream(id uint64) *servedStream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cancels[id]
+	return s.streams[id]
 }
 
-// start serves a request in a goroutine of its own.
-func (s *served) start(f *Frame) {
+// startRequest serves a request in a new goroutine.
+func (s *servedLink) startRequest(f *Frame) {
 	ctx, cancel := context.WithCancel(s.link.ctx)
 	st := &servedStream{cancel: cancel, credit: newCredit(window)}
 	if s.register(f.Stream, st) {
-		go s.serve(ctx, f.Stream, f.Request, st)
+		go s.streamResponse(ctx, f.Stream, f.Request, st)
 	}
 }
 
-// startSlot decides on a slot in a goroutine of its own.
-func (s *served) startSlot(f *Frame) {
+// startSlotRequest decides on a slot in a new goroutine.
+func (s *servedLink) startSlotRequest(f *Frame) {
 	ctx, cancel := context.WithCancel(s.link.ctx)
 	st := &servedStream{cancel: cancel, slot: make(chan *Frame, slotFrames)}
 	if !s.register(f.Stream, st) {
 		return
 	}
 	go func() {
-		defer s.stop(f.Stream)
-		s.mesh.o.Handler.ServeSlot(ctx, f.SlotRequest, &SlotStream{Peer: s.peer, link: s.link, id: f.Stream, in: st.slot})
+		defer s.closeStream(f.Stream)
+		s.mesh.o.Handler.ServeSlot(ctx, f.SlotRequest, &SlotStream{Peer: s.peer, link: s.link, id: f.Stream, frames: st.slot})
 	}()
 }
 
-// register notes a stream. Too many of them end the link.
-func (s *served) register(id uint64, st *servedStream) bool {
+// register adds a stream and reports whether it did. Exceeding maxStreams ends the link.
+func (s *servedLink) register(id uint64, st *servedStream) bool {
 	s.mu.Lock()
-	full := len(s.cancels) >= maxStreams
+	full := len(s.streams) >= maxStreams
 	if !full {
-		s.cancels[id] = st
-		s.link.noteAsked(boottime.Now(), 1)
+		s.streams[id] = st
+		s.link.recordRequest(boottime.Now(), 1)
 	}
 	s.mu.Unlock()
 	if full {
@@ -185,8 +186,8 @@
 	return !full
 }
 
-func (s *served) serve(ctx context.Context, id uint64, r *request.Request, st *servedStream) {
-	defer s.stop(id)
+func (s *servedLink) streamResponse(ctx context.Context, id uint64, r *request.Request, st *servedStream) {
+	defer s.closeStream(id)
 	b := s.mesh.o.Handler.Serve(ctx, r)
 	reader := b.Reader()
 	for {
@@ -203,7 +204,7 @@
 	}
 }
 
-func (s *served) sendEvent(ctx context.Context, id uint64, event answer.Event, c *credit) error {
+func (s *servedLink) sendEvent(ctx context.Context, id uint64, event answer.Event, c *credit) error {
 	switch {
 	case event.Head != nil:
 		return s.link.send(ctx, &Frame{Type: TypeHead, Stream: id, Head: event.Head})
@@ -212,7 +213,7 @@
 	}
 	for rest := event.Piece; len(rest) > 0; {
 		n := min(len(rest), maxDataBytes)
-		if err := c.take(ctx, charge(n)); err != nil {
+		if err := c.acquire(ctx, charge(n)); err != nil {
 			return err
 		}
 		if err := s.link.send(ctx, &Frame{Type: TypeData, Stream: id, Data: rest[:n]}); err != nil {
@@ -223,53 +224,53 @@
 	return nil
 }
 
-func (s *served) stop(id uint64) {
+func (s *servedLink) closeStream(id uint64) {
 	s.mu.Lock()
-	st := s.cancels[id]
-	delete(s.cancels, id)
+	st := s.streams[id]
+	delete(s.streams, id)
 	s.mu.Unlock()
 	if st != nil {
-		s.link.noteAsked(boottime.Now(), -1)
+		s.link.recordRequest(boottime.Now(), -1)
 		st.cancel()
 	}
 }
 
-func (s *served) endAll() {
+func (s *servedLink) closeStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, st := range s.cancels {
+	for id, st := range s.streams {
 		st.cancel()
-		delete(s.cancels, id)
+		delete(s.streams, id)
 	}
 }
 
-// credit is the number of bytes that may be sent. Safe for concurrent use.
+// credit is the number of bytes that may be sent. It is safe for concurrent use.
 type credit struct {
-	mu    sync.Mutex
-	left  int
-	added chan struct{}
+	mu        sync.Mutex
+	available int
+	changed   chan struct{}
 }
 
-func newCredit(n int) *credit { return &credit{left: n, added: make(chan struct{})} }
+func newCredit(n int) *credit { return &credit{available: n, changed: make(chan struct{})} }
 
 func (c *credit) add(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left = min(c.left+n, window)
-	close(c.added)
-	c.added = make(chan struct{})
+	c.available = min(c.available+n, window)
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// take blocks until n bytes may be sent.
-func (c *credit) take(ctx context.Context, n int) error {
+// acquire blocks until n bytes may be sent, or ctx ends.
+func (c *credit) acquire(ctx context.Context, n int) error {
 	for {
 		c.mu.Lock()
-		if c.left >= n {
-			c.left -= n
+		if c.available >= n {
+			c.available -= n
 			c.mu.Unlock()
 			return nil
 		}
-		added := c.added
+		added := c.changed
 		c.mu.Unlock()
 		select {
 		case <-added:
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -10,133 +10,134 @@
 	"github.com/tacktally/tacktally/internal/ratelimit"
 )
 
-// ErrNoReply: a peer that is linked to didn't answer in time.
-var ErrNoReply = errors.New("the peer didn't answer in time")
+// ErrNoReply reports that a peer didn't reply in time.
+var ErrNoReply = errors.New("peer did not reply in time")
 
-// slotFrames bounds the frames that wait on the stream of one slot: a reply that the
-// request waits, a decision, the first token and the release.
+// slotFrames bounds the frames that wait on the stream of one slot: the notice that the request is
+// queued, the decision, the first token and the release.
 const slotFrames = 4
 
-// SlotRequest asks an instance that schedules a shard of upstreams for a slot at one of
-// them. Times are relative, since clocks differ.
+// SlotRequest requests a slot at one of the upstreams of a shard from the instance that schedules
+// the shard. Times are relative, since clocks differ.
 type SlotRequest struct {
 	Service string `cbor:"1,keyasint"`
-	// Shard of the service's upstreams, counted from 0.
+	// Shard is the shard of the service's upstreams, counted from 0.
 	Shard int `cbor:"2,keyasint,omitempty"`
 	// ID of the request, for logs.
 	ID           string `cbor:"3,keyasint"`
 	Rank         int    `cbor:"4,keyasint,omitempty"`
 	Organisation string `cbor:"5,keyasint,omitempty"`
-	// Age is the time since the request arrived, Timeout what is left until its
-	// deadline, Patience how long after its arrival it waits for room, 0 without such a
-	// bound, and Aim its latency objective.
+	// Age is the time since the request arrived, Timeout the time left until its deadline, MaxWait
+	// how long after its arrival it waits for a free slot (0: only bounded by the deadline), and
+	// LatencyObjective its latency objective.
 	Age              time.Duration `cbor:"6,keyasint"`
 	Timeout          time.Duration `cbor:"7,keyasint"`
 	MaxWait          time.Duration `cbor:"8,keyasint,omitempty"`
 	LatencyObjective time.Duration `cbor:"9,keyasint,omitempty"`
-	// PromptTokens, Output and Expected are tokens; Parts are those of the prompt.
+	// PromptTokens, MaxOutput and ExpectedOutput are in tokens. Segments are those of the prompt.
 	PromptTokens   int             `cbor:"10,keyasint,omitempty"`
 	MaxOutput      int             `cbor:"11,keyasint,omitempty"`
 	ExpectedOutput int             `cbor:"12,keyasint,omitempty"`
 	Segments       []PromptSegment `cbor:"13,keyasint,omitempty"`
-	// Bytes of the body that waits.
+	// Bytes is the size of the request's body, which is kept while it waits.
 	Bytes int `cbor:"14,keyasint,omitempty"`
-	// Exclude is an upstream that failed the request already.
+	// Exclude is an upstream that already failed the request.
 	Exclude string `cbor:"15,keyasint,omitempty"`
-	// Zone is the availability zone that the request came to.
+	// Zone is the availability zone in which the request arrived.
 	Zone string `cbor:"16,keyasint,omitempty"`
-	// Restricted requests run in these Regions alone.
+	// Restricted requests run only in these Regions.
 	Restricted bool     `cbor:"17,keyasint,omitempty"`
 	Regions    []string `cbor:"18,keyasint,omitempty"`
-	// Digest of what the request asks for, the same for each try.
+	// Digest of the request's content, the same for each attempt.
 	Digest uint64 `cbor:"19,keyasint,omitempty"`
-	// Unavailable are upstreams that the asking instance may not send to now, by their IDs.
+	// Unavailable are the IDs of upstreams to which the requester may not send at present.
 	Unavailable []string `cbor:"20,keyasint,omitempty"`
-	// Attempt says what the request is to the budget of repeats.
+	// Attempt is what the request is to the retry budget.
 	Attempt AttemptKind `cbor:"21,keyasint,omitempty"`
-	// Limits are those that the asking instance knows of the service's upstreams: one that has just become the owner
-	// may know none.
+	// Limits are the advertised limits that the requester knows of the service's upstreams: a new
+	// owner of the shard may know none.
 	Limits []ratelimit.Update `cbor:"22,keyasint,omitempty"`
 }
 
-// AttemptKind is what a request for a slot is to the budget out of which requests are sent again.
+// AttemptKind is what a slot request is to the retry budget.
 type AttemptKind uint8
 
 const (
-	// FirstAttempt: the slot is for the first attempt of a request, which adds to the budget.
+	// FirstAttempt is the first attempt of a request, which adds to the budget.
 	FirstAttempt AttemptKind = iota
-	// RequeuedAttempt: it is for an attempt that was asked for before and wasn't sent.
+	// RequeuedAttempt is an attempt for which a slot was requested before and which wasn't sent. It
+	// doesn't change the budget.
 	RequeuedAttempt
-	// RetryAttempt: the request was sent before, so that the budget must have it.
+	// RetryAttempt is an attempt after one that was sent, which needs budget.
 	RetryAttempt
 )
 
-// PromptSegment is a part of a prompt that other prompts may begin with too.
+// PromptSegment is a segment of a prompt that other prompts may share as a prefix.
 type PromptSegment struct {
-	// PrefixHash names the text up to its end.
+	// PrefixHash identifies the prompt up to the end of the segment.
 	PrefixHash uint64 `cbor:"1,keyasint"`
-	// Tokens is its own length.
+	// Tokens is the length of the segment.
 	Tokens int `cbor:"2,keyasint"`
 }
 
-// SlotGrant lets the request be sent to an upstream now.
+// SlotGrant allows the request to be sent to an upstream now.
 type SlotGrant struct {
-	// Upstream by its ID.
+	// Upstream is the ID of the upstream.
 	Upstream string `cbor:"1,keyasint"`
-	// PredictedFirstToken is the time in which the first token is expected.
+	// PredictedFirstToken is the time until the first token is expected.
 	PredictedFirstToken time.Duration `cbor:"2,keyasint,omitempty"`
-	// Running is how many requests the upstream runs, this one included.
+	// Running is the number of requests that the upstream runs, including this one.
 	Running int `cbor:"3,keyasint,omitempty"`
 	// ListVersion is the version of the list from which the upstream was chosen, for logs.
 	ListVersion int64 `cbor:"4,keyasint,omitempty"`
-	// PrefillRate and Interval are what the owner has learned of the upstream's speed: prompt tokens a
-	// second, and microseconds between output tokens; 0 is unknown. Whoever owns the shard next
-	// begins with it.
+	// PrefillRate, in prompt tokens per second, and IntervalMicros, in microseconds between output
+	// tokens, are the owner's estimates of the upstream's speed; 0 means unknown. The next owner of
+	// the shard starts with them.
 	PrefillRate    int `cbor:"5,keyasint,omitempty"`
 	IntervalMicros int `cbor:"6,keyasint,omitempty"`
-	// Limited tells whether the owner knows that the upstream has named a limit.
+	// Limited reports whether the owner knows an advertised limit of the upstream.
 	Limited bool `cbor:"7,keyasint,omitempty"`
 }
 
-// SlotRefusal gives the request up. It hasn't run.
+// SlotRefusal refuses a slot. The request hasn't run.
 type SlotRefusal struct {
 	Reason     string        `cbor:"1,keyasint"`
 	Detail     string        `cbor:"2,keyasint"`
 	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// SlotRelease gives a slot back and says how the request went at the upstream.
+// SlotRelease returns a slot and reports how the request ended at the upstream.
 type SlotRelease struct {
-	// Result as the scheduler numbers them.
+	// Result is a scheduler.Ending.
 	Result uint8 `cbor:"1,keyasint"`
-	// Output tokens of a whole answer.
+	// Output is the number of output tokens of a complete response.
 	Output int `cbor:"2,keyasint,omitempty"`
 }
 
-// Slot is a slot that a peer granted, or is asked for. Release gives it back.
+// Slot is a slot that a peer granted. Release returns it.
 type Slot struct {
 	Grant SlotGrant
-	// Queued tells that the request waited for room.
+	// Queued reports whether the request waited for a free slot.
 	Queued bool
 
 	link *link
 	id   uint64
 }
 
-// AcquireSlot asks a peer for a slot and blocks until it grants or refuses one, or ctx
-// ends. A peer that says nothing within ackWithin has failed; one that has said that the
-// request waits may take longer. The error says that the peer didn't decide.
+// AcquireSlot requests a slot from a peer and blocks until it grants or refuses one, or ctx ends. A
+// peer that sends nothing within ackWithin has failed; one that replied that the request is queued
+// may take longer. An error means that the peer didn't decide.
 func (m *Mesh) AcquireSlot(ctx context.Context, address string, r *SlotRequest, ackWithin time.Duration) (*Slot, *SlotRefusal, error) {
 	ackCtx, cancel := context.WithTimeoutCause(ctx, ackWithin, ErrNoReply)
 	defer cancel()
-	l, err := m.linkFor(ackCtx, address)
+	l, err := m.ensureLink(ackCtx, address)
 	if err != nil {
 		return nil, nil, err
 	}
-	id, s := l.openWith(slotFrames)
-	f, queued, err := l.askSlot(ctx, ackCtx, id, s, r)
+	id, s := l.openStreamSized(slotFrames)
+	f, queued, err := l.requestSlot(ctx, ackCtx, id, s, r)
 	if err != nil {
-		l.trySend(&Frame{Type: TypeCancel, Stream: id}) // or the end of the link says it
+		l.trySend(&Frame{Type: TypeCancel, Stream: id}) // if the outbox is full, the end of the link cancels the request
 		l.closeStream(id)
 		return nil, nil, err
 	}
@@ -147,9 +148,9 @@
 	return &Slot{Grant: *f.SlotGrant, Queued: queued, link: l, id: id}, nil, nil
 }
 
-// askSlot returns the decision on a slot, and whether the request waited for it. The first frame of the reply
-// comes within ackCtx.
-func (l *link) askSlot(ctx, ackCtx context.Context, id uint64, s *stream, r *SlotRequest) (f *Frame, queued bool, err error) {
+// requestSlot returns the decision on a slot, and whether the request was queued before. The first
+// frame of the reply must arrive within ackCtx.
+func (l *link) requestSlot(ctx, ackCtx context.Context, id uint64, s *stream, r *SlotRequest) (f *Frame, queued bool, err error) {
 	if err := l.send(ackCtx, &Frame{Type: TypeSlotRequest, Stream: id, SlotRequest: r}); err != nil {
 		return nil, false, causeOf(ackCtx, err)
 	}
@@ -157,7 +158,7 @@
 	if err != nil {
 		err = causeOf(ackCtx, err)
 		if errors.Is(err, ErrNoReply) {
-			l.miss(boottime.Now())
+			l.recordMissedReply(boottime.Now())
 		}
 		return nil, false, err
 	}
@@ -168,12 +169,12 @@
 		}
 	}
 	if f.Type != TypeSlotGranted && f.Type != TypeSlotRefused {
-		return nil, queued, fmt.Errorf("%w: type %d decides on no slot", ErrMalformedFrame, f.Type)
+		return nil, queued, fmt.Errorf("%w: type %d is no decision on a slot", ErrMalformedFrame, f.Type)
 	}
 	return f, queued, nil
 }
 
-// causeOf prefers the cause of a context's end to its bare error.
+// causeOf returns the cause of the context's end if it has ended, and err otherwise.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -181,55 +182,57 @@
 	return err
 }
 
-// Started tells the peer that the first token has come.
-func (s *Slot) Started() { s.tell(&Frame{Type: TypeSlotStarted, Stream: s.id}) }
+// Started reports to the peer that the first token has arrived.
+func (s *Slot) Started() { s.sendAsync(&Frame{Type: TypeSlotStarted, Stream: s.id}) }
 
-// Release gives the slot back.
+// Release returns the slot to the peer.
 func (s *Slot) Release(r SlotRelease) {
-	s.tell(&Frame{Type: TypeSlotReleased, Stream: s.id, SlotRelease: &r})
+	s.sendAsync(&Frame{Type: TypeSlotReleased, Stream: s.id, SlotRelease: &r})
 	s.link.closeStream(s.id)
 }
 
-// Lost tells whether the link has ended, so that the peer no longer counts the slot.
+// Lost reports whether the link has ended, so that the peer no longer counts the slot.
 func (s *Slot) Lost() bool { return s.link.ctx.Err() != nil }
 
-// tell sends a frame without blocking. None may be left out, or the peer would count the
-// slot as taken for ever.
-func (s *Slot) tell(f *Frame) {
+// sendAsync sends a frame without blocking. It may not drop one, or the peer would count the slot
+// as taken for ever.
+func (s *Slot) sendAsync(f *Frame) {
 	if s.link.trySend(f) {
 		return
 	}
-	go func() { _ = s.link.send(s.link.ctx, f) }() // fails only with the link, which says it too
+	go func() { _ = s.link.send(s.link.ctx, f) }() // fails only if the link ends, which also releases the slot
 }
 
-// SlotStream is the peer's side of a slot: it decides and hears what becomes of it.
+// SlotStream is the granting side of a slot: it sends the decision and receives the peer's frames
+// about the slot.
 type SlotStream struct {
-	// Peer that asks, by its address.
+	// Peer is the address of the requesting peer.
 	Peer string
 
-	link *link
-	id   uint64
-	in   <-chan *Frame
+	link   *link
+	id     uint64
+	frames <-chan *Frame
 }
 
-// SendQueued tells the peer that the request waits.
+// SendQueued notifies the peer that the request is queued. It doesn't block; if the outbox is full,
+// nothing is sent.
 func (s *SlotStream) SendQueued() { s.link.trySend(&Frame{Type: TypeSlotQueued, Stream: s.id}) }
 
-// SendGrant tells the peer its slot.
+// SendGrant sends the peer its slot. It blocks while the outbox is full.
 func (s *SlotStream) SendGrant(ctx context.Context, g SlotGrant) error {
 	return s.link.send(ctx, &Frame{Type: TypeSlotGranted, Stream: s.id, SlotGrant: &g})
 }
 
-// SendRefusal tells the peer that it gets none.
+// SendRefusal notifies the peer that it gets no slot. It blocks while the outbox is full.
 func (s *SlotStream) SendRefusal(ctx context.Context, r SlotRefusal) error {
 	return s.link.send(ctx, &Frame{Type: TypeSlotRefused, Stream: s.id, SlotRefusal: &r})
 }
 
-// Next blocks until the peer says more of a slot that it holds: its first token, with a
-// nil release, or the release. The error says that the peer has gone or has cancelled.
+// Next blocks until the peer sends another frame about a slot that it holds: the first token, with
+// a nil release, or the release. An error means that the link ended or the peer cancelled.
 func (s *SlotStream) Next(ctx context.Context) (*SlotRelease, error) {
 	select {
-	case f := <-s.in:
+	case f := <-s.frames:
 		return f.SlotRelease, nil
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
--- a/internal/peer/slots_test.go
+++ b/internal/peer/slots_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestASlotIsGrantedStartedAndGivenBack(t *testing.T) {
+func TestSlotIsGrantedStartedAndReleased(t *testing.T) {
 	for _, service := range []string{"free", "busy"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestASlotIsRefused(t *testing.T) {
+func TestSlotIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	slot, refusal, err := p.a.AcquireSlot(t.Context(), p.addressB, &SlotRequest{Service: "full"}, time.Minute)
@@ -38,18 +38,18 @@
 	is.Equal(refusal.RetryAfter, time.Second)
 }
 
-// A peer that is linked to may be frozen all the same.
-func TestASilentPeerIsNotWaitedFor(t *testing.T) {
+// A peer may be frozen although the link to it is up.
+func TestAcquireSlotTimesOutOnASilentPeer(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	_, _, err := p.a.AcquireSlot(t.Context(), p.addressB, &SlotRequest{Service: "silent"}, time.Millisecond)
 	is.True(errors.Is(err, ErrNoReply))
-	is.Equal(<-p.hb.slots, "gone") // it is told that the slot isn't wanted any more
+	is.Equal(<-p.hb.slots, "gone") // the request is cancelled at the peer
 }
 
-// A link may go silent without a reset while the one that the peer dialled lives: requests
-// that get no reply end it, so that it is dialled anew.
-func TestALinkThatAnswersNothingIsEnded(t *testing.T) {
+// A link may go silent without a reset while the one that the peer dialled still works. Requests
+// without a reply end it, so that it is dialled again.
+func TestLinkWithoutRepliesIsEnded(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		misses int
@@ -57,59 +57,59 @@
 		dead   bool
 	}{
 		{"one lost reply", 1, time.Minute, false},
-		{"silent", 2, quietFor, true},
+		{"silent", 2, deadSilence, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p := newPair(t)
-			l := p.a.linkTo(p.addressB)
-			now := time.Now().Add(time.Hour) // past all frames that may still come
-			l.hear(now)
+			l := p.a.reachableLink(p.addressB)
+			now := time.Now().Add(time.Hour) // after all frames that may still arrive
+			l.recordFrame(now)
 			for range c.misses {
-				l.miss(now.Add(c.quiet))
+				l.recordMissedReply(now.Add(c.quiet))
 			}
 			is.Equal(l.ctx.Err() != nil, c.dead)
 		})
 	}
 }
 
-// A frame that comes before the link was quiet for long enough, however many requests went
-// without a reply, shows that its peer lives.
-func TestASlowLinkIsKept(t *testing.T) {
+// A frame that arrives before the link was silent for deadSilence shows that the peer is alive, no
+// matter how many requests got no reply.
+func TestSlowLinkIsKept(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
-	l := p.a.linkTo(p.addressB)
+	l := p.a.reachableLink(p.addressB)
 	now := time.Now()
-	l.hear(now)
+	l.recordFrame(now)
 	for range 5 {
-		l.miss(now)
+		l.recordMissedReply(now)
 	}
-	l.hear(now)
-	l.endIfDead() // as the timer calls it, once the link may have been quiet for long
+	l.recordFrame(now)
+	l.closeIfDead() // as the timer calls it after deadSilence
 	is.NoErr(l.ctx.Err())
 	for range maxUnanswered {
-		l.miss(now)
+		l.recordMissedReply(now)
 	}
-	l.endIfDead()
-	is.True(errors.Is(context.Cause(l.ctx), errSilent)) // nothing more has come
+	l.closeIfDead()
+	is.True(errors.Is(context.Cause(l.ctx), errSilent)) // no further frame has arrived
 }
 
-// The owner of a shard that lost power isn't asked again for a while; its link ends all the
-// same.
-func TestASilentLinkIsEndedWithoutFurtherRequests(t *testing.T) {
+// The owner of a shard that lost power isn't sent further requests for a while. Its link still
+// ends.
+func TestSilentLinkEndsWithoutFurtherRequests(t *testing.T) {
 	p := newPair(t)
-	l := p.a.linkTo(p.addressB)
+	l := p.a.reachableLink(p.addressB)
 	for range maxUnanswered {
-		l.miss(time.Now())
+		l.recordMissedReply(time.Now())
 	}
 	<-l.ctx.Done()
 }
 
-func TestRequestsWithoutAReplyCountAgainstTheirLink(t *testing.T) {
+func TestSlotRequestsWithoutReplyEndTheLink(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
-	l := p.a.linkTo(p.addressB)
-	l.hear(time.Now().Add(-time.Hour))
+	l := p.a.reachableLink(p.addressB)
+	l.recordFrame(time.Now().Add(-time.Hour))
 	for range maxUnanswered {
 		_, _, err := p.a.AcquireSlot(t.Context(), p.addressB, &SlotRequest{Service: "silent"}, time.Millisecond)
 		is.True(errors.Is(err, ErrNoReply))
@@ -117,16 +117,16 @@
 	is.True(errors.Is(context.Cause(l.ctx), errSilent))
 }
 
-// A peer whose link went silent dials another one. What it holds on the old one counts no
-// longer on the side that hasn't noticed its end.
-func TestANewLinkOfAPeerEndsTheOneBefore(t *testing.T) {
+// A peer whose link went silent dials another one. What it holds on the old link no longer counts,
+// even on a side that hasn't noticed that link's end.
+func TestNewLinkFromAPeerEndsThePreviousOne(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	slot, _, err := p.a.AcquireSlot(t.Context(), p.addressB, &SlotRequest{Service: "free"}, time.Minute)
 	is.NoErr(err)
-	silenced := p.a.linkTo(p.addressB)
+	silenced := p.a.reachableLink(p.addressB)
 	p.a.mu.Lock()
-	p.a.peers[p.addressB].link = nil // as after its end, which the other side doesn't see
+	p.a.peers[p.addressB].link = nil // as after its end, which the other side doesn't notice
 	p.a.mu.Unlock()
 	go func() { _, _ = p.a.dial(p.a.ctx, p.addressB) }()
 	is.Equal(<-p.hb.slots, "gone")
@@ -134,39 +134,39 @@
 	is.True(slot.Lost())
 }
 
-// A peer may know this instance under a second address, and hangs up once it hears its
-// own: the link that it keeps lives on.
-func TestALinkUnderAnotherAddressEndsNoGoodOne(t *testing.T) {
+// A peer may know this instance under a second address, and closes that link when the hello names
+// the first one. The existing link stays.
+func TestDialUnderAnAliasKeepsTheExistingLink(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	slot, _, err := p.a.AcquireSlot(t.Context(), p.addressB, &SlotRequest{Service: "free"}, time.Minute)
 	is.NoErr(err)
 	alias := strings.Replace(p.addressB, "127.0.0.1", "localhost", 1)
 	_, err = p.a.dial(t.Context(), alias)
-	is.True(errors.Is(err, ErrMalformedFrame)) // it calls itself by its own address
+	is.True(errors.Is(err, ErrMalformedFrame)) // the hello has its own address
 	is.True(!slot.Lost())
 	slot.Release(SlotRelease{Result: 1})
 	is.Equal(<-p.hb.slots, "released 1 0")
 }
 
-func TestASlotIsGivenBackByTheEndOfItsLink(t *testing.T) {
+func TestSlotIsReleasedWhenItsLinkEnds(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	slot, _, err := p.a.AcquireSlot(t.Context(), p.addressB, &SlotRequest{Service: "free"}, time.Minute)
 	is.NoErr(err)
-	p.a.linkTo(p.addressB).cancel(errSilent)
+	p.a.reachableLink(p.addressB).cancel(errSilent)
 	is.Equal(<-p.hb.slots, "gone")
 	is.True(slot.Lost())
 }
 
-func TestNoSlotFromAPeerThatIsNotLinked(t *testing.T) {
+func TestAcquireSlotFailsWithoutALink(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	_, _, err := p.a.AcquireSlot(t.Context(), "127.0.0.1:1", &SlotRequest{Service: "free"}, time.Minute)
 	is.True(errors.Is(err, ErrUnreachable))
 }
 
-func TestTokensAreAskedForAndGivenBack(t *testing.T) {
+func TestQuotaTokensAreTakenAndReturned(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t)
 	reply, err := p.a.TakeQuota(t.Context(), p.addressB, &QuotaRequest{Organisation: "crews", Rate: 1, Tokens: 9}, time.Minute)
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -15,269 +15,272 @@
 )
 
 const (
-	// tendInterval is how often it is looked which links are wanted, and how long news of
-	// members are gathered before they are passed on: two steps of it, from a hub to a hub and
-	// on to its zone, are what a change takes to be known everywhere.
-	tendInterval = 100 * time.Millisecond
-	// unusedAfter is how long a link that was made on use is kept without any. A link costs
-	// about 50 KB on either side and two heartbeats a second, a new one a round trip and a
-	// half before the request that waits for it.
+	// maintenanceInterval is how often the wanted links are checked, and how long membership
+	// updates are batched. A change is known everywhere after two such steps: from a hub to a hub,
+	// and on to its zone.
+	maintenanceInterval = 100 * time.Millisecond
+	// unusedAfter is how long a link that was dialled on use is kept while unused. A link costs
+	// about 50 KB on either side and two heartbeats a second; a new one costs the request that
+	// waits for it one and a half round trips.
 	unusedAfter = 10 * time.Second
-	// crossedWithin is how far apart two links may have come up that two instances have
-	// dialled to each other at the same time. Of links further apart the older one is dead to
-	// the peer, which dials only while it has none.
-	crossedWithin = time.Second
-	// probeInterval is how often a hub tries an instance that is out of reach.
+	// crossedDialWindow is how far apart two links may have come up that two instances dialled to
+	// each other at the same time. If they are further apart, the peer has lost the older one,
+	// since it dials only while it has none.
+	crossedDialWindow = time.Second
+	// probeInterval is how often a hub dials an unreachable instance.
 	probeInterval = time.Second
-	// slowDial is how long a dial may take before others are tried for hubs in the peer's
-	// place: an instance without power doesn't even refuse a connection. Processors are held
-	// back for a tenth of a second at times.
-	slowDial = 300 * time.Millisecond
-	// maxSparseRedial bounds the pause before a wanted link is tried again: a zone that was
-	// cut off is found again within it.
+	// slowDialAfter is how long a dial may take before other instances are tried as hubs in the
+	// peer's place: an instance without power doesn't even refuse a connection. Processors may be
+	// throttled for a tenth of a second.
+	slowDialAfter = 300 * time.Millisecond
+	// maxSparseRedial bounds the delay before a wanted link is dialled again, and so how long a
+	// zone takes to be found again after a network partition.
 	maxSparseRedial = time.Second
 )
 
-// sparse is what a mesh with few links has beside its peers. It is guarded by the lock of
-// the mesh, but for wake.
-type sparse struct {
-	plan   *membership.Overlay
-	wake   chan struct{}
-	probed time.Time
-	drains bool // this instance takes no new work, by its last heartbeat
+// sparseState is the additional state of a sparse mesh. It is guarded by the mesh's lock, except
+// wake.
+type sparseState struct {
+	overlay   *membership.Overlay
+	wake      chan struct{}
+	lastProbe time.Time
+	draining  bool // this instance's last heartbeat reported that it accepts no new work
 }
 
-// tended is how a link to a peer is looked after. It is guarded by the lock of the mesh.
-type tended struct {
-	used    time.Time     // when a link was last asked for
-	dialled chan struct{} // closed once the dial under way has ended or its link is up; nil while none is
-	next    time.Time     // when to dial again, at the earliest
-	pause   *backoff.ExponentialBackOff
-
-	link       *link // to which was told
-	told       toldUpTo
-	introduced toldUpTo
+// linkControl controls when a peer is dialled and which updates it is sent. It is guarded by the
+// mesh's lock.
+type linkControl struct {
+	lastUsed      time.Time     // when a link was last requested
+	dialDone      chan struct{} // closed once the dial in progress has ended or its link is up; nil while none is
+	nextDial      time.Time     // earliest time of the next dial
+	redialBackoff *backoff.ExponentialBackOff
+
+	updateLink    *link // the link on which the updates below were sent
+	updatesSent   updateCursor
+	bootstrapSent updateCursor
 }
 
-func newSparse(m *Mesh) *sparse {
+func newSparseState(m *Mesh) *sparseState {
 	self := membership.Member{Address: m.o.Address, Zone: m.o.Zone, Incarnation: m.o.Incarnation, Cores: m.o.Cores, Started: m.started}
-	return &sparse{plan: membership.NewOverlay(m.started, self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1)}
+	return &sparseState{overlay: membership.NewOverlay(m.started, self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1)}
 }
 
-// kick lets the mesh look at once which links are wanted.
-func (s *sparse) kick() {
+// notify triggers an immediate check of the wanted links. It doesn't block.
+func (s *sparseState) notify() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // it is about to
+	default: // a check is already pending
 	}
 }
 
-// tend makes the links that are wanted, ends those that aren't, and passes news of members
-// on, until the mesh is closed.
-func (m *Mesh) tend() {
-	t := time.NewTicker(tendInterval)
+// maintainLinks dials wanted links, ends unused ones and sends membership updates until the mesh is
+// closed.
+func (m *Mesh) maintainLinks() {
+	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			m.passOn(boottime.Now())
+			m.sendUpdates(boottime.Now())
 		case <-m.sparse.wake:
 		case <-m.ctx.Done():
 			return
 		}
-		m.dialWanted(boottime.Now())
+		m.updateLinks(boottime.Now())
 	}
 }
 
-// dialWanted dials the peers to which links are wanted and ends links that nobody uses.
-func (m *Mesh) dialWanted(now time.Time) {
+// updateLinks dials the peers to which links are wanted and ends unused links.
+func (m *Mesh) updateLinks(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	plan := m.sparse.plan
+	overlay := m.sparse.overlay
 	wanted := map[string]bool{}
-	for _, address := range plan.Wants(now) {
+	for _, address := range overlay.Wants(now) {
 		wanted[address] = true
-		m.dialSoon(now, address)
+		m.startDial(now, address)
 	}
-	if now.Sub(m.sparse.probed) >= probeInterval {
-		m.sparse.probed = now
-		if address, some := plan.Probe(now); some {
-			m.dialSoon(now, address)
+	if now.Sub(m.sparse.lastProbe) >= probeInterval {
+		m.sparse.lastProbe = now
+		if address, some := overlay.Probe(now); some {
+			m.startDial(now, address)
 		}
 	}
 	for address, p := range m.peers {
-		m.endUnused(now, address, p, wanted[address])
+		m.closeIfUnused(now, address, p, wanted[address])
 	}
 }
 
-// endUnused ends a link that this side dialled once it is neither wanted nor used, and
-// forgets a peer without links. The caller holds the lock.
-func (m *Mesh) endUnused(now time.Time, address string, p *peerState, wanted bool) {
-	unused := !wanted && now.Sub(p.tended.used) >= unusedAfter && now.Sub(p.since) >= unusedAfter
+// closeIfUnused ends a link that this side dialled once it is neither wanted nor used, and removes
+// a peer without links. The caller holds the lock.
+func (m *Mesh) closeIfUnused(now time.Time, address string, p *peerState, wanted bool) {
+	unused := !wanted && now.Sub(p.control.lastUsed) >= unusedAfter && now.Sub(p.knownSince) >= unusedAfter
 	if !unused {
 		return
 	}
-	if p.link != nil && p.link.isIdle(now, unusedAfter) && m.sparse.plan.KindFor(now, address) == membership.Nothing {
+	if p.link != nil && p.link.isIdle(now, unusedAfter) && m.sparse.overlay.KindFor(now, address) == membership.Nothing {
 		p.link.cancel(errUnused)
 	}
-	if p.link == nil && m.accepted[address] == nil && p.tended.dialled == nil {
+	if p.link == nil && m.accepted[address] == nil && p.control.dialDone == nil {
 		delete(m.peers, address)
 	}
 }
 
-var errUnused = errors.New("nobody uses the link")
+var errUnused = errors.New("link is unused")
 
-// dialSoon dials a peer unless a link to it is up, is being made, or has failed just now.
-// The caller holds the lock.
-func (m *Mesh) dialSoon(now time.Time, address string) {
-	p := m.link(address)
-	if p == nil || p.tended.dialled != nil || now.Before(p.tended.next) || m.liveLink(address, p) != nil {
+// startDial dials a peer unless a link to it is up or being dialled, or its redial delay hasn't
+// passed. The caller holds the lock.
+func (m *Mesh) startDial(now time.Time, address string) {
+	p := m.ensurePeer(address)
+	if p == nil || p.control.dialDone != nil || now.Before(p.control.nextDial) || m.liveLink(address, p) != nil {
 		return
 	}
-	ended := make(chan struct{})
-	p.tended.dialled = ended
-	m.wg.Go(func() { m.dialOnce(address, p, ended) })
+	done := make(chan struct{})
+	p.control.dialDone = done
+	m.wg.Go(func() { m.dialAndServe(address, p, done) })
 }
 
-// dialOnce makes a link, runs it until it ends, and says when to try again. Those who wait
-// for the dial are woken by the end of ended.
-func (m *Mesh) dialOnce(address string, p *peerState, ended chan struct{}) {
-	slow := time.AfterFunc(slowDial, func() { m.failSlow(address, ended) })
+// dialAndServe establishes a link, serves it until it ends, and schedules the next dial. Callers
+// that wait for the dial are woken when done is closed.
+func (m *Mesh) dialAndServe(address string, p *peerState, done chan struct{}) {
+	slow := time.AfterFunc(slowDialAfter, func() { m.reportSlowDial(address, done) })
 	up, err := m.dial(m.ctx, address)
 	slow.Stop()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := &p.tended
-	if t.pause == nil {
-		t.pause = backoff.NewExponentialBackOff()
-		t.pause.InitialInterval = firstRedial
-		t.pause.MaxInterval = maxSparseRedial
+	c := &p.control
+	if c.redialBackoff == nil {
+		c.redialBackoff = backoff.NewExponentialBackOff()
+		c.redialBackoff.InitialInterval = firstRedial
+		c.redialBackoff.MaxInterval = maxSparseRedial
 	}
 	if up {
-		t.pause.Reset()
+		c.redialBackoff.Reset()
 	} else {
-		m.sparse.plan.Fail(boottime.Now(), address)
+		m.sparse.overlay.Fail(boottime.Now(), address)
 	}
-	t.next = boottime.Now().Add(t.pause.NextBackOff())
-	if t.dialled == ended {
-		t.settle()
+	c.nextDial = boottime.Now().Add(c.redialBackoff.NextBackOff())
+	if c.dialDone == done {
+		c.finishDial()
 	}
-	m.linkEnded(address, "dialled", err)
+	m.logLinkEnded(address, "dialled", err)
 }
 
-// failSlow notes that a dial that is still under way takes long.
-func (m *Mesh) failSlow(address string, dial chan struct{}) {
+// reportSlowDial reports a dial that is still in progress to the overlay as failed.
+func (m *Mesh) reportSlowDial(address string, done chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if p := m.peers[address]; p != nil && p.tended.dialled == dial {
-		m.sparse.plan.Fail(boottime.Now(), address)
+	if p := m.peers[address]; p != nil && p.control.dialDone == done {
+		m.sparse.overlay.Fail(boottime.Now(), address)
 	}
 }
 
-// settle wakes those who wait for a dial. The caller holds the lock.
-func (t *tended) settle() {
-	if t.dialled != nil {
-		close(t.dialled)
-		t.dialled = nil
+// finishDial wakes the callers that wait for a dial. The caller holds the lock.
+func (c *linkControl) finishDial() {
+	if c.dialDone != nil {
+		close(c.dialDone)
+		c.dialDone = nil
 	}
 }
 
-// linkedTo notes that a peer has said who it is on a link. The caller holds the lock.
-func (m *Mesh) linkedTo(p *peerState) {
+// recordLinked records in the overlay that a peer has sent its hello on a link. The caller holds
+// the lock.
+func (m *Mesh) recordLinked(p *peerState) {
 	now := boottime.Now()
 	h := p.hello
-	m.sparse.plan.Link(now, membership.Member{Address: h.Address, Zone: h.Zone, Incarnation: h.Incarnation, Cores: h.Cores, Started: p.started})
+	m.sparse.overlay.Link(now, membership.Member{Address: h.Address, Zone: h.Zone, Incarnation: h.Incarnation, Cores: h.Cores, Started: p.started})
 	if p.link != nil {
-		p.tended.settle()
+		p.control.finishDial()
 	}
-	m.sparse.kick()
+	m.sparse.notify()
 }
 
-// unlink notes that a link to a peer has ended.
-func (m *Mesh) unlink(address string) {
+// recordUnlinked records in the overlay that the last link to a peer has ended.
+func (m *Mesh) recordUnlinked(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[address]
 	if p == nil || m.liveLink(address, p) != nil {
 		return
 	}
-	m.sparse.plan.Unlink(boottime.Now(), address)
-	m.sparse.kick()
+	m.sparse.overlay.Unlink(boottime.Now(), address)
+	m.sparse.notify()
 }
 
-// replaceDialled ends the link that this side dialled to a peer that now has dialled one
-// itself, unless the two have crossed. The caller holds the lock.
+// replaceDialled ends the link that this side dialled to a peer that has now dialled one itself,
+// unless the two dials crossed. It applies to a sparse mesh. The caller holds the lock.
 func (m *Mesh) replaceDialled(address string) {
 	p := m.peers[address]
-	if m.sparse == nil || p == nil || p.link == nil || boottime.Since(p.link.since) < crossedWithin {
+	if m.sparse == nil || p == nil || p.link == nil || boottime.Since(p.link.upSince) < crossedDialWindow {
 		return
 	}
 	p.link.cancel(errReplaced)
 	p.link = nil
 }
 
-// liveLink returns a link to a peer that is up and on which the peer was heard of lately, nil
-// if there is none. The caller holds the lock.
+// liveLink returns a link to a peer that is up and on which a frame was received within
+// SuspectAfter, or nil. The caller holds the lock.
 func (m *Mesh) liveLink(address string, p *peerState) *link {
 	now := boottime.Now()
 	for _, l := range []*link{p.link, m.accepted[address]} {
-		if l != nil && l.ctx.Err() == nil && now.Sub(l.lastHeard()) < m.o.SuspectAfter {
+		if l != nil && l.ctx.Err() == nil && now.Sub(l.lastReceived()) < m.o.SuspectAfter {
 			return l
 		}
 	}
 	return nil
 }
 
-// useLink notes that a link to a peer is used. It returns the link if it is up, and
-// otherwise what is closed once the dial under way has ended, nil where none is.
+// useLink records that a link to a peer is used. It returns the link if it is up. Otherwise it
+// starts a dial and returns the channel that is closed when the dial has ended; nil if none is in
+// progress.
 func (m *Mesh) useLink(address string) (*link, <-chan struct{}) {
 	if m.sparse == nil {
-		return m.linkTo(address), nil
+		return m.reachableLink(address), nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := boottime.Now()
-	p := m.link(address)
+	p := m.ensurePeer(address)
 	if p == nil {
 		return nil, nil
 	}
-	p.tended.used = now
+	p.control.lastUsed = now
 	if l := m.liveLink(address, p); l != nil {
 		return l, nil
 	}
-	m.dialSoon(now, address)
-	return nil, p.tended.dialled
+	m.startDial(now, address)
+	return nil, p.control.dialDone
 }
 
-// linkFor returns the link to a peer. Where links are few it makes one and blocks until it
-// is up or can't be made, or ctx ends.
-func (m *Mesh) linkFor(ctx context.Context, address string) (*link, error) {
-	l, dialled := m.useLink(address)
+// ensureLink returns the link to a peer. In a sparse mesh it dials one if needed, and blocks until
+// the link is up, the dial has failed or ctx ends.
+func (m *Mesh) ensureLink(ctx context.Context, address string) (*link, error) {
+	l, dialDone := m.useLink(address)
 	if l != nil {
 		return l, nil
 	}
-	if dialled == nil {
+	if dialDone == nil {
 		return nil, fmt.Errorf("%w %s", ErrUnreachable, address)
 	}
 	select {
-	case <-dialled:
+	case <-dialDone:
 	case <-ctx.Done():
 		return nil, causeOf(ctx, ctx.Err())
 	}
-	if l := m.linkTo(address); l != nil {
+	if l := m.reachableLink(address); l != nil {
 		return l, nil
 	}
 	return nil, fmt.Errorf("%w %s", ErrUnreachable, address)
 }
 
-// endSilent ends links on which nothing was heard of for too long, and returns the peers that
-// are out of reach by that. The caller holds the lock.
-func (m *Mesh) endSilent(now time.Time) (silent []string) {
+// closeSilentSparseLinks ends links on which no frame was received for SuspectAfter, and returns
+// the peers that have no live link any more as a result. The caller holds the lock.
+func (m *Mesh) closeSilentSparseLinks(now time.Time) (silent []string) {
 	for address, p := range m.peers {
 		ended := false
 		for _, l := range []*link{p.link, m.accepted[address]} {
-			if l != nil && l.ctx.Err() == nil && now.Sub(l.lastHeard()) >= m.o.SuspectAfter {
-				l.cancel(errSilent) // what is held on it is given back
+			if l != nil && l.ctx.Err() == nil && now.Sub(l.lastReceived()) >= m.o.SuspectAfter {
+				l.cancel(errSilent) // releases the slots that the peer holds on it
 				ended = true
 			}
 		}
@@ -288,15 +291,17 @@
 	return silent
 }
 
-// toldUpTo names a telling: those that were told the same get the same bytes.
-type toldUpTo struct {
+// updateCursor is the state up to which a peer has been sent updates. Peers with the same cursor
+// get the same bytes.
+type updateCursor struct {
 	kind   membership.Kind
-	change uint64 // of the members; 0: nothing was told
+	change uint64 // of the membership table; 0: nothing was sent
 }
 
-// members returns the state of all known peers, sorted by address. The caller holds the lock.
-func (m *Mesh) members(now time.Time) []Status {
-	known := m.sparse.plan.Members(now)
+// memberStatuses returns the status of all known peers, sorted by address. The caller holds the
+// lock.
+func (m *Mesh) memberStatuses(now time.Time) []Status {
+	known := m.sparse.overlay.Members(now)
 	out := make([]Status, 0, len(known))
 	for _, k := range known {
 		s := Status{
@@ -310,10 +315,10 @@
 		}
 		if p := m.peers[k.Address]; p != nil {
 			s.Linked = m.liveLink(k.Address, p) != nil
-			s.LastSeen = boottime.Steady(p.lastHeard)
-			s.Revision = p.last.Revision
-			s.InFlight = p.last.InFlight
-			s.ReadsSource = p.last.ReadsSource
+			s.LastSeen = boottime.Steady(p.lastSeen)
+			s.Revision = p.lastHeartbeat.Revision
+			s.InFlight = p.lastHeartbeat.InFlight
+			s.ReadsSource = p.lastHeartbeat.ReadsSource
 		}
 		out = append(out, s)
 	}
@@ -321,48 +326,49 @@
 	return out
 }
 
-// MembershipVersion counts the changes of which peers there are and which are within reach; what changes
-// with time alone doesn't count. It is 0 where all are linked to all.
+// MembershipVersion increases whenever the set of peers or their reachability changes; changes that
+// come with time alone don't count. It is 0 in a full mesh.
 func (m *Mesh) MembershipVersion() uint64 {
 	if m.sparse == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.sparse.plan.Change()
+	return m.sparse.overlay.Change()
 }
 
-// Role of an instance in a fleet with few links.
+// Role is the role of an instance in a sparse mesh.
 type Role struct {
-	// HubRank is its place among the hubs of its availability zone, counted from 0; -1 where it
-	// is none.
+	// HubRank is its place among the hubs of its availability zone, counted from 0; -1 if it is no
+	// hub.
 	HubRank int
-	// ZoneRank is how many of its zone within reach go before it in the order of hubs.
+	// ZoneRank is how many reachable instances of its zone precede it in the order in which hubs
+	// are selected.
 	ZoneRank int
-	// NoOtherSeed tells whether there is nobody to be found: it knows no seed but itself.
+	// NoOtherSeed reports whether it knows no seed but itself, so that it has no way to find peers.
 	NoOtherSeed bool
-	// Seed tells whether others find the fleet by it.
+	// Seed reports whether it is one of the seeds by which others find the fleet.
 	Seed bool
 }
 
-// Role returns the role that this instance has now.
+// Role returns the current role of this instance.
 func (m *Mesh) Role() Role {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	plan := m.sparse.plan
+	overlay := m.sparse.overlay
 	now := boottime.Now()
-	return Role{HubRank: plan.HubRank(now), ZoneRank: plan.RankInZone(now), Seed: plan.IsSeed(), NoOtherSeed: plan.SeedCount() == 0}
+	return Role{HubRank: overlay.HubRank(now), ZoneRank: overlay.RankInZone(now), Seed: overlay.IsSeed(), NoOtherSeed: overlay.SeedCount() == 0}
 }
 
-// LinkCount is the number of peers to which links are up.
+// LinkCount returns the number of peers to which links are up.
 func (m *Mesh) LinkCount() int {
-	near, far := m.links()
-	return len(near) + len(far)
+	sameZone, otherZones := m.linksByZone()
+	return len(sameZone) + len(otherZones)
 }
 
-// noteDraining notes what this instance says of itself.
-func (m *Mesh) noteDraining(drains bool) {
+// setDraining records whether this instance is draining, for the next membership updates.
+func (m *Mesh) setDraining(draining bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sparse.drains = drains
+	m.sparse.draining = draining
 }
--- a/internal/peer/sparse_test.go
+++ b/internal/peer/sparse_test.go
@@ -14,15 +14,15 @@
 	"github.com/tacktally/tacktally/internal/membership"
 )
 
-// sparseMesh is an instance of a fleet with few links.
+// sparseMesh is an instance with a sparse mesh.
 type sparseMesh struct {
 	*Mesh
 	handler *handler
 	server  *httptest.Server
 }
 
-// newSparseMesh starts an instance that knows some seeds. Its heartbeats come once an hour:
-// what is told otherwise is seen alone.
+// newSparseMesh starts an instance that knows the given seeds. Its heartbeats come once an hour, so
+// that tests see only what is sent otherwise.
 func newSparseMesh(t *testing.T, zone string, seeds ...string) *sparseMesh {
 	t.Helper()
 	h := &handler{hold: make(chan struct{}), slots: make(chan string, 9)}
@@ -46,8 +46,8 @@
 	s.server.Close()
 }
 
-// inReach is how many others it believes to be within reach.
-func (s *sparseMesh) inReach() (n int) {
+// reachablePeers returns the number of peers that this instance considers reachable.
+func (s *sparseMesh) reachablePeers() (n int) {
 	for _, p := range s.Peers() {
 		if p.Reachable {
 			n++
@@ -56,7 +56,7 @@
 	return n
 }
 
-// One link serves a pair: whichever side dialled it, both ask for slots on it.
+// One link serves a pair of instances: both sides can request slots on it, whichever dialled it.
 func TestOneLinkServesBothDirections(t *testing.T) {
 	is := is.New(t)
 	a := newSparseMesh(t, "bole")
@@ -73,9 +73,9 @@
 	}
 }
 
-// Instances of one zone link to its hubs alone, and know all others by them. One to which no
-// link is kept is linked to on use.
-func TestALinkIsMadeOnUse(t *testing.T) {
+// Instances of one zone link only to its hubs and discover all others through them. A link to
+// another instance is dialled on use.
+func TestLinkIsDialledOnUse(t *testing.T) {
 	is := is.New(t)
 	const n = 12
 	all := []*sparseMesh{newSparseMesh(t, "bole")}
@@ -83,7 +83,7 @@
 		all = append(all, newSparseMesh(t, "bole", all[0].o.Address))
 	}
 	for _, m := range all {
-		eventually(t, func() bool { return m.inReach() == n-1 })
+		eventually(t, func() bool { return m.reachablePeers() == n-1 })
 	}
 	var from, to *sparseMesh
 	eventually(t, func() bool {
@@ -105,22 +105,22 @@
 	is.True(to.IsLinked(from.o.Address))
 }
 
-// Nobody listens at the address: whoever asks is told at once.
-func TestALinkThatCanNotBeMadeIsNotWaitedFor(t *testing.T) {
+// No process listens at the address: the caller gets the error at once.
+func TestRefusedDialFailsAtOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	gone := l.Addr().String()
+	refusing := l.Addr().String()
 	l.Close()
 	a := newSparseMesh(t, "bole")
-	for range 2 { // the second one isn't even tried again so soon
-		_, _, err = a.AcquireSlot(t.Context(), gone, &SlotRequest{Service: "free"}, time.Hour)
+	for range 2 { // the second attempt comes before the redial delay has passed
+		_, _, err = a.AcquireSlot(t.Context(), refusing, &SlotRequest{Service: "free"}, time.Hour)
 		is.True(errors.Is(err, ErrUnreachable))
 	}
 }
 
-// A slot is asked for at an instance that accepts connections and says nothing.
-func TestALinkThatDoesNotComeUpIsWaitedForAsLongAsAReply(t *testing.T) {
+// The peer accepts connections and then sends nothing.
+func TestHangingDialTimesOutLikeAMissingReply(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -130,19 +130,19 @@
 	is.True(errors.Is(err, ErrNoReply))
 }
 
-// Two that dial each other at the same time keep a link.
-func TestCrossingDialsLeaveALink(t *testing.T) {
+// Two instances that dial each other at the same time keep a link.
+func TestCrossingDialsKeepALink(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
 		a := newSparseMesh(t, "bole")
 		b := newSparseMesh(t, "merkato")
 		errs := make(chan error, 2)
-		ask := func(from, to *sparseMesh) {
+		acquire := func(from, to *sparseMesh) {
 			_, _, err := from.AcquireSlot(t.Context(), to.o.Address, &SlotRequest{Service: "free"}, time.Minute)
 			errs <- err
 		}
-		go ask(a, b)
-		go ask(b, a)
+		go acquire(a, b)
+		go acquire(b, a)
 		is.NoErr(<-errs)
 		is.NoErr(<-errs)
 		is.True(a.IsLinked(b.o.Address))
@@ -152,9 +152,9 @@
 	}
 }
 
-// A link that the peer no longer has would hold what the peer held on it: the one that the
-// peer dials in its place ends it.
-func TestALinkThatThePeerHasLostIsEnded(t *testing.T) {
+// A link that the peer has lost would keep the slots that the peer held on it. The new link that
+// the peer dials ends it.
+func TestLinkThatThePeerLostIsEnded(t *testing.T) {
 	is := is.New(t)
 	a := newSparseMesh(t, "bole")
 	b := newSparseMesh(t, "merkato")
@@ -162,7 +162,7 @@
 	is.NoErr(err)
 	a.mu.Lock()
 	old := a.peers[b.o.Address].link
-	old.since = old.since.Add(-crossedWithin) // it is no crossing of dials
+	old.upSince = old.upSince.Add(-crossedDialWindow) // too old for crossing dials
 	a.mu.Unlock()
 	b.mu.Lock()
 	delete(b.accepted, a.o.Address)
@@ -173,9 +173,8 @@
 	is.True(a.IsLinked(b.o.Address))
 }
 
-// A link that nobody uses is ended by the side that dialled it, one on which something is
-// open isn't.
-func TestAnUnusedLinkIsEnded(t *testing.T) {
+// The side that dialled a link ends it when it is unused, but not while a request is open on it.
+func TestUnusedLinkIsEnded(t *testing.T) {
 	is := is.New(t)
 	a := newSparseMesh(t, "bole")
 	b := newSparseMesh(t, "bole")
@@ -185,8 +184,8 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		later := time.Now().Add(2 * unusedAfter)
-		a.sparse.plan = membership.NewOverlay(time.Now(), membership.Member{Address: a.o.Address, Zone: "elsewhere"}, nil) // it wants no links
-		a.endUnused(later, b.o.Address, a.peers[b.o.Address], false)
+		a.sparse.overlay = membership.NewOverlay(time.Now(), membership.Member{Address: a.o.Address, Zone: "elsewhere"}, nil) // it wants no links
+		a.closeIfUnused(later, b.o.Address, a.peers[b.o.Address], false)
 	}
 	endUnused()
 	is.True(!slot.Lost())
@@ -196,9 +195,9 @@
 	is.True(slot.Lost())
 }
 
-// A link that the peer uses is kept, though this side, which dialled it, doesn't: the peer holds
-// a slot on it, or has just asked for something.
-func TestALinkThatThePeerUsesIsKept(t *testing.T) {
+// A link that only the peer uses is kept by the side that dialled it: the peer holds a slot on it,
+// or has just sent a request.
+func TestLinkThatThePeerUsesIsKept(t *testing.T) {
 	is := is.New(t)
 	a := newSparseMesh(t, "bole")
 	b := newSparseMesh(t, "bole")
@@ -211,44 +210,44 @@
 	endUnused := func(later time.Time) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.sparse.plan = membership.NewOverlay(time.Now(), membership.Member{Address: a.o.Address, Zone: "elsewhere"}, nil) // it wants no links
+		a.sparse.overlay = membership.NewOverlay(time.Now(), membership.Member{Address: a.o.Address, Zone: "elsewhere"}, nil) // it wants no links
 		p := a.peers[b.o.Address]
-		p.tended.used, p.since = time.Time{}, time.Time{}
-		a.endUnused(later, b.o.Address, p, false)
+		p.control.lastUsed, p.knownSince = time.Time{}, time.Time{}
+		a.closeIfUnused(later, b.o.Address, p, false)
 	}
 	endUnused(time.Now().Add(2 * unusedAfter))
-	is.True(!slot.Lost()) // it holds a slot
+	is.True(!slot.Lost()) // the peer holds a slot
 	slot.Release(SlotRelease{Result: 3})
 	is.Equal(<-a.handler.slots, "released 3 0")
 	endUnused(time.Now())
-	is.True(a.IsLinked(b.o.Address)) // it was used just now
+	is.True(a.IsLinked(b.o.Address)) // the peer used it just now
 }
 
-// Another process under the same address is known as that as soon as it is linked to.
-func TestARestartedPeerIsAnotherProcess(t *testing.T) {
+// A new process under the same address is recognised as soon as it is linked.
+func TestRestartedPeerHasANewIncarnation(t *testing.T) {
 	is := is.New(t)
 	a := newSparseMesh(t, "bole")
 	for incarnation := range uint64(3) {
 		now := time.Now()
 		a.mu.Lock()
-		a.sparse.plan.Link(now, membership.Member{Address: "10.0.0.7:1", Zone: "merkato", Incarnation: incarnation + 1, Started: now})
+		a.sparse.overlay.Link(now, membership.Member{Address: "10.0.0.7:1", Zone: "merkato", Incarnation: incarnation + 1, Started: now})
 		a.mu.Unlock()
 		is.Equal(a.Incarnation("10.0.0.7:1"), incarnation+1)
 		is.Equal(a.Zone("10.0.0.7:1"), "merkato")
 	}
 }
 
-// What a telling holds comes through a frame.
-func TestATellingPassesAFrame(t *testing.T) {
+// A membership update survives encoding and decoding.
+func TestMembershipUpdateRoundTrip(t *testing.T) {
 	is := is.New(t)
-	told := &membership.Telling{Kind: membership.Reached, Full: true, News: []membership.News{
+	update := &membership.Telling{Kind: membership.Reached, Full: true, News: []membership.News{
 		{Address: "10.0.0.7:1", Zone: "bole", Incarnation: 5, Cores: 0.4, Age: time.Second, Draining: true}, {Address: "10.0.0.8:1", Gone: true},
 	}}
-	b, err := Encode(&Frame{Type: TypeMembership, Membership: told})
+	b, err := Encode(&Frame{Type: TypeMembership, Membership: update})
 	is.NoErr(err)
 	f, err := Decode(b)
 	is.NoErr(err)
-	is.Equal(fmt.Sprint(*f.Membership), fmt.Sprint(*told))
+	is.Equal(fmt.Sprint(*f.Membership), fmt.Sprint(*update))
 	_, err = Decode(mustEncode(t, &Frame{Type: TypeMembership}))
 	is.True(errors.Is(err, ErrMalformedFrame))
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -8,7 +8,7 @@
 	"github.com/tacktally/tacktally/internal/boottime"
 )
 
-// Status of a peer, for operators.
+// Status is the state of a peer, for operators.
 type Status struct {
 	Address     string    `json:"address"`
 	Zone        string    `json:"zone"`
@@ -22,16 +22,16 @@
 	Cores       float64   `json:"cores,omitempty"`
 	Started     time.Time `json:"started,omitzero"`
 	InFlight    int       `json:"inFlight"`
-	// Queued work by set and rank, as told last.
+	// Queued is the number of waiting requests by engine set and rank, as last reported.
 	Queued map[string][]int `json:"queued,omitempty"`
 }
 
-// Peers returns the state of all known peers, sorted by address.
+// Peers returns the status of all known peers, sorted by address.
 func (m *Mesh) Peers() []Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sparse != nil {
-		return m.members(boottime.Now())
+		return m.memberStatuses(boottime.Now())
 	}
 	out := make([]Status, 0, len(m.peers))
 	for address, p := range m.peers {
@@ -40,12 +40,12 @@
 			Zone:        p.hello.Zone,
 			Incarnation: p.hello.Incarnation,
 			Linked:      p.link != nil,
-			LastSeen:    boottime.Steady(p.lastHeard),
-			Revision:    p.last.Revision,
-			Draining:    p.last.Draining,
-			ReadsSource: p.last.ReadsSource,
-			InFlight:    p.last.InFlight,
-			Queued:      p.last.Queued,
+			LastSeen:    boottime.Steady(p.lastSeen),
+			Revision:    p.lastHeartbeat.Revision,
+			Draining:    p.lastHeartbeat.Draining,
+			ReadsSource: p.lastHeartbeat.ReadsSource,
+			InFlight:    p.lastHeartbeat.InFlight,
+			Queued:      p.lastHeartbeat.Queued,
 			Reachable:   m.isReachable(p),
 			Cores:       p.hello.Cores,
 			Started:     boottime.Steady(p.started),
@@ -59,13 +59,13 @@
 	slices.SortFunc(list, func(a, b Status) int { return cmp.Compare(a.Address, b.Address) })
 }
 
-// Incarnation returns the incarnation a peer last named itself with, 0 when it
-// has never been heard.
+// Incarnation returns the incarnation that a peer last announced; 0 if nothing was received from
+// it.
 func (m *Mesh) Incarnation(address string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sparse != nil {
-		member, _ := m.sparse.plan.Member(address)
+		member, _ := m.sparse.overlay.Member(address)
 		return member.Incarnation
 	}
 	if p := m.peers[address]; p != nil {
@@ -74,12 +74,12 @@
 	return 0
 }
 
-// Zone returns the availability zone of a peer, empty while it isn't known.
+// Zone returns the availability zone of a peer; empty while it isn't known.
 func (m *Mesh) Zone(address string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sparse != nil {
-		member, _ := m.sparse.plan.Member(address)
+		member, _ := m.sparse.overlay.Member(address)
 		return member.Zone
 	}
 	if p := m.peers[address]; p != nil {
