--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -270,10 +270,10 @@
 			c.mu.Unlock()
 			return nil
 		}
-		added := c.changed
+		changed := c.changed
 		c.mu.Unlock()
 		select {
-		case <-added:
+		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
