--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry runs an instance that serves routed requests: it reads what is
-// published from a source, shares it and its load with its peers, and serves callers.
+// Package entry runs an instance that serves routed requests: it reads the published configuration
+// and upstreams from a source, exchanges them and its load with its peers, and serves callers.
 package entry
 
 import (
@@ -30,36 +30,36 @@
 )
 
 const (
-	// memoryShare is the part of the process's memory from which on the garbage
-	// collector works harder. The rest is for the kernel's buffers.
-	memoryShare = 0.5
-	// lapseBeats is how many heartbeats of an upstream an outage of the source must last
-	// for entries to lapse in it: they do after three, of which one may have been due.
-	lapseBeats = 2
-	// quotaSettle is how long after its start an instance keeps no quotas for others:
-	// until it knows them. All of a fleet start within 0.3 s, and know each other
-	// soon after their seeds do.
-	quotaSettle = 500 * time.Millisecond
-	// farEvery is how many heartbeats apart peers of other availability zones are told of
-	// load. It is part of what brought bytes between zones from 0.28 to 0.12 GB on a
-	// loaded day of 87 instances.
-	farEvery = 2
-	// tidyInterval is how often idle connections are looked at.
-	tidyInterval = time.Second
-	// instancesInterval is how often an instance looks which others there are: within it
-	// a shard whose owner is gone has a new one.
-	instancesInterval = 200 * time.Millisecond
-	// settlingInterval is how often it does so where none came or went: with time alone some
-	// settle after their start. A look goes through all instances.
-	settlingInterval = time.Second
+	// memoryLimitShare is the share of the process's memory above which the garbage collector runs
+	// more often. The rest is for the kernel's buffers.
+	memoryLimitShare = 0.5
+	// lapseHeartbeats is how many upstream heartbeats an outage of the source must last for entries
+	// to lapse in it: an entry lapses after three, one of which may have been due.
+	lapseHeartbeats = 2
+	// settleTime is how long after its start an instance keeps no quota buckets for others: until
+	// it knows the other instances. All instances of a fleet start within 0.3 s, and know each
+	// other soon after their seeds do.
+	settleTime = 500 * time.Millisecond
+	// crossZoneEvery makes one heartbeat in that many to peers of other availability zones a whole
+	// one, with the load. It is part of what reduced traffic between zones from 0.28 to 0.12 GB on
+	// a loaded day of 87 instances.
+	crossZoneEvery = 2
+	// idleCloseInterval is how often expired idle connections are closed.
+	idleCloseInterval = time.Second
+	// fleetRefreshInterval is how often an instance checks for changes to the fleet's instances: a
+	// shard whose owner is lost gets a new owner within it.
+	fleetRefreshInterval = 200 * time.Millisecond
+	// settledCheckInterval is how often the instances are refreshed when none came or went, since
+	// instances settle with time alone. A refresh goes through all instances.
+	settledCheckInterval = time.Second
 )
 
-// Options of an Instance.
+// Options configure an Instance.
 type Options struct {
 	Settings *settings.Settings
 	Source   view.Source
 	Protocol proxy.Protocol
-	// LogWriter takes the log. Writing to it may block; logging doesn't.
+	// LogWriter is where the log is written. Writing to it may block; logging doesn't.
 	LogWriter io.Writer
 }
 
@@ -78,21 +78,21 @@
 	fleet  *fleet.Fleet
 	quotas *fleet.Quotas
 	proxy  *proxy.Handler
-	// quarantine is what is known of requests that crash upstreams.
+	// quarantine records requests that crash upstreams.
 	quarantine *quarantine.Book
 	mesh       *peer.Mesh
 	ready      readiness
 
-	reading   reading
-	followed  followed
-	passingOn atomic.Bool // soon, what peers have told
-	// gauged are the availability zones that have a gauge. Only upstreamsChanged uses it.
-	gauged map[string]bool
-	// strayOwners are those that were told last of what runs in their shards.
-	strayOwners []string
+	election     readerElection
+	lastFleet    fleetState
+	relayPending atomic.Bool // whether a heartbeat with peers' updates is scheduled
+	// zoneGauges are the availability zones that have a gauge. Only upstreamsChanged uses it.
+	zoneGauges map[string]bool
+	// uninformedOwners are the owners to which informOwners last sent a heartbeat.
+	uninformedOwners []string
 }
 
-// New builds an instance and opens its listeners. Run serves them.
+// New builds an instance and opens its listeners. Run serves on them.
 func New(o Options) (*Instance, error) {
 	s := o.Settings
 	i := &Instance{
@@ -114,7 +114,7 @@
 		Lease:         time.Duration(s.Routed.Lease),
 		ServeStale:    s.Routed.StaleKeys == settings.ServeStaleKeys,
 		Settle:        time.Duration(s.Routed.Settle),
-		Lapse:         lapseBeats * time.Duration(s.Routed.UpstreamHeartbeat),
+		Lapse:         lapseHeartbeats * time.Duration(s.Routed.UpstreamHeartbeat),
 		OnUpstreams:   i.upstreamsChanged,
 		OnEvacuations: i.evacuationsChanged,
 		OnTable:       i.tableChanged,
@@ -144,16 +144,16 @@
 		Cores:          s.Routed.Cores,
 		Heartbeat:      time.Duration(s.Peers.Heartbeat),
 		SuspectAfter:   time.Duration(s.Peers.SuspectAfter),
-		CrossZoneEvery: farEvery,
+		CrossZoneEvery: crossZoneEvery,
 		Sparse:         true,
-		Handler:        &peers{instance: i},
+		Handler:        &peerHandler{instance: i},
 		Log:            i.log,
 	})
 	i.fleet.UseSlots(i.mesh)
 	i.quotas.UsePeers(i.mesh)
-	i.followInstances() // it hasn't settled
-	i.gauges()
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Routed.MemoryMB<<20)))
+	i.refreshFleet() // before settleTime, so this instance isn't settled
+	i.registerGauges()
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Routed.MemoryMB<<20)))
 	return i, nil
 }
 
@@ -182,49 +182,52 @@
 	})
 }
 
-// upstreamsChanged uses what has changed of the list and tells the peers of it.
+// upstreamsChanged applies a change to the list of upstreams and announces it to the peers.
 func (i *Instance) upstreamsChanged(change view.ListChange) {
 	i.fleet.ChangeUpstreams(change)
-	i.gaugeZones(change.Changed)
-	i.tell()
+	i.registerZoneGauges(change.Changed)
+	i.announceChange()
 }
 
-// tableChanged uses a new configuration and tells the peers of it.
+// tableChanged applies a new configuration and announces it to the peers.
 func (i *Instance) tableChanged(t *routing.Table) {
 	i.fleet.SetServices(t.Services())
-	i.tell()
+	i.announceChange()
 }
 
-// evacuationsChanged sends nothing more to zones that are evacuated, and tells the peers of them.
+// evacuationsChanged stops new requests to evacuated zones, and announces the evacuations to the
+// peers.
 func (i *Instance) evacuationsChanged(zones []string) {
 	i.fleet.SetEvacuated(zones)
-	i.tell()
+	i.announceChange()
 }
 
-// tell tells the peers at once that something newer is known here, if they may have it from
-// this instance alone: it reads the source, or is a hub. It doesn't block: beliefs are locked
-// while it is called.
-func (i *Instance) tell() {
-	if i.reading.active() || i.mesh.Role().HubRank >= 0 {
+// announceChange announces newer state to the peers at once if they might get it only from this
+// instance: it reads the source, or is a hub. It doesn't block: the view's lock is held while it is
+// called.
+func (i *Instance) announceChange() {
+	if i.election.active() || i.mesh.Role().HubRank >= 0 {
 		go i.mesh.Announce()
 	}
 }
 
-// passOnWithin is the time in which what several peers have told is passed on together.
-const passOnWithin = 20 * time.Millisecond
+// relayDelay is how long updates from several peers are collected before they are relayed together.
+const relayDelay = 20 * time.Millisecond
 
-// passOn is tell for news of which many instances tell parts at once. It doesn't block.
-func (i *Instance) passOn() {
-	if i.mesh.Role().HubRank < 0 || !i.passingOn.CompareAndSwap(false, true) {
+// relayUpdates relays updates from peers to the others if this instance is a hub. Many instances
+// may send parts of an update at once, so it waits for relayDelay and then sends one heartbeat. It
+// doesn't block.
+func (i *Instance) relayUpdates() {
+	if i.mesh.Role().HubRank < 0 || !i.relayPending.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(passOnWithin, func() {
-		i.passingOn.Store(false)
+	time.AfterFunc(relayDelay, func() {
+		i.relayPending.Store(false)
 		i.mesh.Announce()
 	})
 }
 
-func (i *Instance) gauges() {
+func (i *Instance) registerGauges() {
 	i.metrics.Gauge("tacktally_in_flight", func() float64 { return float64(i.proxy.InFlight()) })
 	i.metrics.Gauge("tacktally_revision", func() float64 { return float64(i.view.Revision()) })
 	i.metrics.Gauge("tacktally_config_age_seconds", func() float64 {
@@ -245,38 +248,38 @@
 	i.metrics.Gauge("tacktally_peers_known", func() float64 { return float64(len(i.mesh.Peers())) })
 	i.metrics.Gauge("tacktally_instances_in_reach", func() float64 { return float64(i.fleet.InstancesInReach()) })
 	i.metrics.Gauge("tacktally_peer_links", func() float64 { return float64(i.mesh.LinkCount()) })
-	i.metrics.Gauge("tacktally_hub", func() float64 { return asNumber(i.mesh.Role().HubRank >= 0) })
-	i.metrics.Gauge("tacktally_reads_source", func() float64 { return asNumber(i.reading.active()) })
+	i.metrics.Gauge("tacktally_hub", func() float64 { return boolToFloat(i.mesh.Role().HubRank >= 0) })
+	i.metrics.Gauge("tacktally_reads_source", func() float64 { return boolToFloat(i.election.active()) })
 	i.metrics.Gauge("tacktally_log_lines_dropped", func() float64 { return float64(i.output.Dropped()) })
 }
 
-func asNumber(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Address returns the peer address.
+// Address returns the address for peers.
 func (i *Instance) Address() string { return i.address }
 
-// CallerAddress returns where callers are listened to.
+// CallerAddress returns the address of the listener for callers.
 func (i *Instance) CallerAddress() string { return i.listeners.callers.Addr().String() }
 
-// ReadyAddress returns where readiness checks are answered.
+// ReadyAddress returns the address of the listener for readiness checks.
 func (i *Instance) ReadyAddress() string { return i.listeners.ready.Addr().String() }
 
-// MetricsAddress returns where metrics are served.
+// MetricsAddress returns the address of the listener for metrics.
 func (i *Instance) MetricsAddress() string { return i.listeners.metrics.Addr().String() }
 
-// Run serves until ctx ends, and then shuts down: see shutDown.
+// Run serves until ctx ends and then shuts down, as shutDown describes.
 func (i *Instance) Run(ctx context.Context) {
 	life, end := context.WithCancel(context.Background())
 	i.mesh.SetPeers(i.settings.Peers.Seeds)
 	var background sync.WaitGroup
-	background.Go(func() { i.readInTurn(life) })
-	background.Go(func() { i.askPeers(life) })
-	background.Go(func() { i.tidy(life) })
+	background.Go(func() { i.runReader(life) })
+	background.Go(func() { i.refreshFromPeers(life) })
+	background.Go(func() { i.maintain(life) })
 	servers := i.listeners.serve(i)
 	i.log.Info().Str("event", "started").Str("zone", i.settings.Zone).Str("callers", i.settings.Callers.Address).
 		Str("seeds", join(i.settings.Peers.Seeds)).Msg("")
@@ -290,61 +293,64 @@
 	i.output.Close()
 }
 
-// Reload takes over changed settings: the seeds. All else needs a restart.
+// Reload applies changed seeds. All other settings need a restart.
 func (i *Instance) Reload(s *settings.Settings) {
 	i.mesh.SetPeers(s.Peers.Seeds)
 	i.log.Info().Str("event", "reloaded").Str("seeds", join(s.Peers.Seeds)).Msg("")
 }
 
-// ReloadFailed notes settings that can't be taken over.
+// ReloadFailed logs that changed settings couldn't be applied.
 func (i *Instance) ReloadFailed(err error) {
-	i.log.Error().Str("event", "reload_failed").Str("cause", err.Error()).Msg("what was in force stays in force; mend the settings")
+	i.log.Error().Str("event", "reload_failed").Str("cause", err.Error()).Msg("the previous settings stay in force; correct the settings and reload")
 }
 
-// tidy closes idle connections, and follows which instances there are.
-func (i *Instance) tidy(ctx context.Context) {
-	tidied := time.Now()
-	for wait.For(ctx, instancesInterval) {
-		i.followInstances()
+// maintain refreshes the fleet's instances, informs owners and closes expired idle connections,
+// until ctx ends.
+func (i *Instance) maintain(ctx context.Context) {
+	lastClosed := time.Now()
+	for wait.For(ctx, fleetRefreshInterval) {
+		i.refreshFleet()
 		i.fleet.CountLost()
-		i.tellOwners()
-		if time.Since(tidied) >= tidyInterval {
-			tidied = time.Now()
-			i.fleet.CloseExpired(tidied)
+		i.informOwners()
+		if time.Since(lastClosed) >= idleCloseInterval {
+			lastClosed = time.Now()
+			i.fleet.CloseExpired(lastClosed)
 		}
 	}
 }
 
-// tellOwners tells the owners of shards of what runs in them that they haven't granted, until
-// it has ended. Heartbeats alone come a half or a whole second apart.
-func (i *Instance) tellOwners() {
+// informOwners sends heartbeats to the owners of shards in which requests run that these owners
+// haven't granted, until the requests have ended. Regular heartbeats come only every half second or
+// second.
+func (i *Instance) informOwners() {
 	owners := i.fleet.StrayOwners()
 	for _, owner := range owners {
 		i.mesh.SendHeartbeat(owner)
 	}
-	for _, owner := range i.strayOwners {
+	for _, owner := range i.uninformedOwners {
 		if !slices.Contains(owners, owner) {
-			i.mesh.SendHeartbeat(owner) // that nothing of it runs any more
+			i.mesh.SendHeartbeat(owner) // reports that no such request runs any more
 		}
 	}
-	i.strayOwners = owners
+	i.uninformedOwners = owners
 }
 
-// followed is which instances the fleet was told last.
-type followed struct {
-	change     uint64 // of the mesh
+// fleetState is the state that was last passed to the fleet.
+type fleetState struct {
+	change     uint64 // the mesh's MembershipVersion
 	at         time.Time
-	membership membership
+	membership membershipSummary
 }
 
-// followInstances tells the fleet which instances are known, if that has changed.
-func (i *Instance) followInstances() {
+// refreshFleet passes the known instances to the fleet if they have changed, or
+// settledCheckInterval has passed.
+func (i *Instance) refreshFleet() {
 	change, now := i.mesh.MembershipVersion(), time.Now()
-	if change == i.followed.change && now.Sub(i.followed.at) < settlingInterval {
+	if change == i.lastFleet.change && now.Sub(i.lastFleet.at) < settledCheckInterval {
 		return
 	}
-	i.followed.change, i.followed.at = change, now
-	instances := []fleet.Instance{{Address: i.address, Zone: i.settings.Zone, Cores: i.settings.Routed.Cores, InReach: true, MayOwn: !i.ready.draining.Load(), Settled: time.Since(i.started) >= quotaSettle}}
+	i.lastFleet.change, i.lastFleet.at = change, now
+	instances := []fleet.Instance{{Address: i.address, Zone: i.settings.Zone, Cores: i.settings.Routed.Cores, InReach: true, MayOwn: !i.ready.draining.Load(), Settled: time.Since(i.started) >= settleTime}}
 	for _, p := range i.mesh.Peers() {
 		instances = append(instances, fleet.Instance{
 			Address: p.Address,
@@ -352,29 +358,29 @@
 			Cores:   p.Cores,
 			InReach: p.Reachable,
 			MayOwn:  p.Reachable && !p.Draining,
-			Settled: !p.Started.IsZero() && time.Since(p.Started) >= quotaSettle,
+			Settled: !p.Started.IsZero() && time.Since(p.Started) >= settleTime,
 		})
 	}
 	i.fleet.SetInstances(instances)
 	i.logMembership(instances)
 }
 
-// membership is what the log says of the fleet.
-type membership struct{ known, inReach, hub, links int }
+// membershipSummary is the part of the membership that is logged.
+type membershipSummary struct{ known, reachable, hubRank, links int }
 
-// logMembership notes how many instances there are, if that has changed.
+// logMembership logs the size of the fleet and this instance's hub rank if they have changed.
 func (i *Instance) logMembership(instances []fleet.Instance) {
-	now := membership{known: len(instances), hub: i.mesh.Role().HubRank, links: i.mesh.LinkCount()}
+	now := membershipSummary{known: len(instances), hubRank: i.mesh.Role().HubRank, links: i.mesh.LinkCount()}
 	for _, other := range instances {
 		if other.InReach {
-			now.inReach++
+			now.reachable++
 		}
 	}
-	before := i.followed.membership
-	i.followed.membership = now
-	if before.known == now.known && before.inReach == now.inReach && before.hub == now.hub {
+	previous := i.lastFleet.membership
+	i.lastFleet.membership = now
+	if previous.known == now.known && previous.reachable == now.reachable && previous.hubRank == now.hubRank {
 		return
 	}
-	i.log.Info().Str("event", "membership").Int("known", now.known).Int("in_reach", now.inReach).
-		Int("hub", now.hub).Int("links", now.links).Msg("")
+	i.log.Info().Str("event", "membership").Int("known", now.known).Int("in_reach", now.reachable).
+		Int("hub", now.hubRank).Int("links", now.links).Msg("")
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -16,7 +16,7 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// nothing is a source and a protocol that know nothing.
+// nothing is a source and a protocol without any data.
 type nothing struct{}
 
 func (nothing) Entry(_ context.Context, id string) (view.Change, error) {
@@ -33,9 +33,9 @@
 func (nothing) ReadHead(int, http.Header) proxy.Head               { return proxy.Head{} }
 func (nothing) WriteProblem(w http.ResponseWriter, _ *api.Problem) { w.WriteHeader(http.StatusTeapot) }
 
-// From its first request on an instance must not take itself for the whole fleet: 87 of
-// them, all just started, granted an organisation a rate and more each.
-func TestAnInstanceHasNotSettledWhenItStarts(t *testing.T) {
+// An instance that has just started must not consider itself the whole fleet from its first request
+// on: 87 instances that had just started each granted an organisation a whole rate and more.
+func TestInstanceIsNotSettledAtStart(t *testing.T) {
 	is := is.New(t)
 	s := &settings.Settings{
 		Zone:    "bole",
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -17,16 +17,16 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// peers is the instance as its peers use it.
-type peers struct{ instance *Instance }
+// peerHandler implements peer.Handler for an instance.
+type peerHandler struct{ instance *Instance }
 
 // Serve implements peer.Handler. Routed requests aren't forwarded.
-func (p *peers) Serve(context.Context, *request.Request) *answer.Buffer {
-	return answer.Refused(api.Refuse(api.ReasonUnknownService, "this instance serves routed requests only; send it to another"))
+func (p *peerHandler) Serve(context.Context, *request.Request) *answer.Buffer {
+	return answer.Refused(api.Refuse(api.ReasonUnknownService, "this instance serves routed requests only; send the request to another instance"))
 }
 
 // State implements peer.Handler.
-func (p *peers) State(f *peer.FetchRequest) *peer.State {
+func (p *peerHandler) State(f *peer.FetchRequest) *peer.State {
 	v := p.instance.view
 	configuration, age := v.Published()
 	list := v.HandOver(view.Have{Version: f.ListVersion, Whole: !f.AcceptsDelta, Sums: f.ListChecksums})
@@ -52,7 +52,7 @@
 	}
 	encoded, err := cbor.Marshal(list.Upstreams)
 	if err != nil {
-		p.instance.log.Error().Str("event", "list_not_encoded").Str("cause", err.Error()).Msg("")
+		p.instance.log.Error().Str("event", "list_not_encoded").Str("cause", err.Error()).Msg("could not encode the list of upstreams; the peer gets none")
 		s.ListVersion = 0
 		return s
 	}
@@ -61,21 +61,21 @@
 }
 
 // FetchRequest implements peer.Handler.
-func (p *peers) FetchRequest() *peer.FetchRequest {
+func (p *peerHandler) FetchRequest() *peer.FetchRequest {
 	v := p.instance.view
 	have := v.Have()
 	return &peer.FetchRequest{Revision: v.Revision(), ListVersion: have.Version, AcceptsDelta: true, ListChecksums: have.Sums}
 }
 
-// MergeState implements peer.Handler. What the peer says was true when it was asked, or
-// later: its age is counted from then.
-func (p *peers) MergeState(from string, asked time.Time, s *peer.State) {
+// MergeState implements peer.Handler. The peer's state was current when it was requested or later,
+// so ages are counted from then.
+func (p *peerHandler) MergeState(from string, requestedAt time.Time, s *peer.State) {
 	v := p.instance.view
 	v.LearnEvacuations(view.Evacuations(s.Evacuations), from)
-	v.Learn(view.Configuration{Revision: s.Revision, Content: s.Content}, asked.Add(-s.Age), from)
+	v.Learn(view.Configuration{Revision: s.Revision, Content: s.Content}, requestedAt.Add(-s.Age), from)
 	list := view.List{
 		Version:  s.ListVersion,
-		AsOf:     asked.Add(-s.ListAge),
+		AsOf:     requestedAt.Add(-s.ListAge),
 		Since:    s.ListSince,
 		Parts:    s.ListChunks,
 		Vanished: s.Removed,
@@ -84,20 +84,20 @@
 	}
 	if len(s.List) > 0 {
 		if err := cbor.Unmarshal(s.List, &list.Upstreams); err != nil {
-			p.instance.log.Warn().Str("event", "list_not_readable").Str("peer", from).Str("cause", err.Error()).Msg("run the same version on all instances")
+			p.instance.log.Warn().Str("event", "list_not_readable").Str("peer", from).Str("cause", err.Error()).Msg("could not decode the peer's list of upstreams; run the same version on all instances")
 			return
 		}
 	}
-	alike := v.LearnUpstreams(list, from)
+	identical := v.LearnUpstreams(list, from)
 	p.instance.fleet.LearnLeaving(from, s.Leaving)
 	p.instance.fleet.LearnLimits(from, s.Limits)
-	if !alike {
+	if !identical {
 		p.instance.mesh.ScheduleFetch(from)
 	}
 }
 
 // Heartbeat implements peer.Handler.
-func (p *peers) Heartbeat() *peer.Heartbeat {
+func (p *peerHandler) Heartbeat() *peer.Heartbeat {
 	i := p.instance
 	load := i.fleet.Load()
 	return &peer.Heartbeat{
@@ -109,16 +109,16 @@
 		Running:           load.Running,
 		Leaving:           i.fleet.SaidLeaving(),
 		Limits:            i.fleet.TellLimits(),
-		ReadsSource:       i.reading.active(),
+		ReadsSource:       i.election.active(),
 		KnownPeers:        i.mesh.PeerCount(),
-		SourceReachableMS: int(min(i.view.SteadyFor(), maxSteady).Milliseconds()),
+		SourceReachableMS: int(min(i.view.SteadyFor(), maxSourceReachable).Milliseconds()),
 		Evacuations:       peer.Evacuations(i.view.Evacuated()),
 		Quarantine:        i.quarantine.Tell(time.Now()),
 	}
 }
 
 // HandleHeartbeat implements peer.Handler.
-func (p *peers) HandleHeartbeat(from string, h *peer.Heartbeat) {
+func (p *peerHandler) HandleHeartbeat(from string, h *peer.Heartbeat) {
 	i := p.instance
 	if !h.Brief {
 		i.fleet.SetOthers(from, scheduler.Load{Running: h.Running})
@@ -127,7 +127,7 @@
 	crashes := i.quarantine.Learn(time.Now(), h.Quarantine)
 	limits := i.fleet.LearnLimits(from, h.Limits)
 	if i.fleet.LearnLeaving(from, h.Leaving) || crashes || limits {
-		i.passOn()
+		i.relayUpdates()
 	}
 	if h.SourceReachableMS > 0 {
 		i.view.SourceWasThere(time.Duration(h.SourceReachableMS)*time.Millisecond, from)
@@ -137,66 +137,71 @@
 	}
 }
 
-// maxSteady bounds the time that is told for which the source was reached all the time: two
-// bytes of each heartbeat. An outage and the time to settle after it last for some seconds.
-const maxSteady = time.Minute
+// maxSourceReachable bounds the reported time for which the source was reached without
+// interruption, which takes two bytes of each heartbeat. An outage and the time to settle after it
+// take some seconds.
+const maxSourceReachable = time.Minute
 
+// isBehind reports whether a heartbeat announces a newer configuration or list.
 func (i *Instance) isBehind(h *peer.Heartbeat) bool {
 	return i.view.IsBehind(h.ConfigVersion, h.Revision) || h.ListVersion > i.view.ListVersion()
 }
 
-// farPatience is how long an instance that hears of something newer from another
-// availability zone waits for its own to bring it, since bytes between zones cost.
-const farPatience = 600 * time.Millisecond
+// crossZoneFetchDelay is how long an instance waits for its own availability zone to provide newer
+// state that another zone announces, since traffic between zones is charged.
+const crossZoneFetchDelay = 600 * time.Millisecond
 
-// catchUp fetches what a peer knows and this instance doesn't. One that knows nothing yet
-// waits for nobody.
+// catchUp fetches newer state that a peer announces. An instance without a configuration doesn't wait
+// for its own zone.
 func (i *Instance) catchUp(from string, h *peer.Heartbeat) {
 	if i.mesh.Zone(from) == i.settings.Zone || i.view.Revision() == 0 {
 		i.mesh.ScheduleFetch(from)
 		return
 	}
-	time.AfterFunc(farPatience, func() {
+	time.AfterFunc(crossZoneFetchDelay, func() {
 		if i.isBehind(h) {
 			i.mesh.ScheduleFetch(from)
 		}
 	})
 }
 
-// HandlePressure implements peer.Handler. It isn't used between instances of this kind.
-func (p *peers) HandlePressure(peer.Pressure) {}
+// HandlePressure implements peer.Handler. It is unused between instances that serve routed
+// requests.
+func (p *peerHandler) HandlePressure(peer.Pressure) {}
 
 // ServeSlot implements peer.Handler.
-func (p *peers) ServeSlot(ctx context.Context, r *peer.SlotRequest, s *peer.SlotStream) {
+func (p *peerHandler) ServeSlot(ctx context.Context, r *peer.SlotRequest, s *peer.SlotStream) {
 	p.instance.fleet.ServeSlot(ctx, r, s)
 }
 
 // ServeQuota implements peer.Handler.
-func (p *peers) ServeQuota(r *peer.QuotaRequest) *peer.QuotaReply { return p.instance.quotas.Serve(r) }
+func (p *peerHandler) ServeQuota(r *peer.QuotaRequest) *peer.QuotaReply {
+	return p.instance.quotas.Serve(r)
+}
 
 // HandleQuotaReturn implements peer.Handler.
-func (p *peers) HandleQuotaReturn(r *peer.QuotaReturn) { p.instance.quotas.Returned(r) }
+func (p *peerHandler) HandleQuotaReturn(r *peer.QuotaReturn) { p.instance.quotas.Returned(r) }
 
-// loadHold is how long the load of a peer whose link has ended still counts: until the
-// others have told what they run by its grants, which they do each instancesInterval. What
-// counts longer counts twice: after the loss of an owner 182 of 180 slots were taken for
-// full while 95 requests ran.
-const loadHold = instancesInterval + 50*time.Millisecond
+// loadRetention is how long the load of a peer still counts after its link has ended: until the
+// other instances have reported what they run by that peer's grants, which they do every
+// fleetRefreshInterval. Load that is kept longer counts twice: after the loss of an owner, 182 of
+// 180 slots were considered taken while 95 requests ran.
+const loadRetention = fleetRefreshInterval + 50*time.Millisecond
 
 // LinkLost implements peer.Handler.
-func (p *peers) LinkLost(address string) {
+func (p *peerHandler) LinkLost(address string) {
 	i := p.instance
-	time.AfterFunc(loadHold, func() {
+	time.AfterFunc(loadRetention, func() {
 		if !i.mesh.IsLinked(address) {
 			i.fleet.SetOthers(address, scheduler.Load{})
 		}
 	})
 }
 
-// PeerLost implements peer.Handler. Its load is forgotten as its link ends.
-func (p *peers) PeerLost(address string) {
+// PeerLost implements peer.Handler. It removes the peer's load, as the end of its link does.
+func (p *peerHandler) PeerLost(address string) {
 	i := p.instance
-	i.log.Warn().Str("event", "peer_lost").Str("peer", address).Msg("")
+	i.log.Warn().Str("event", "peer_lost").Str("peer", address).Msg("peer is silent; its load is removed")
 	p.LinkLost(address)
 }
 
--- a/internal/entry/reader_election.go
+++ b/internal/entry/reader_election.go
@@ -10,104 +10,105 @@
 )
 
 const (
-	// readersPerZone is how many instances of an availability zone read the source.
-	// The others learn from them: each read is one of a bounded number. Two, so that
-	// the loss of one leaves no gap.
+	// readersPerZone is how many instances of an availability zone read the source. The others get
+	// its state from them, since the number of reads is bounded. With two, the loss of one leaves
+	// no gap.
 	readersPerZone = 2
-	// findFor is how long after its start an instance that knows nobody leaves reading to
-	// the seeds: while a fleet starts all at once, each takes itself for the first of its
-	// zone, and 295 of them made 1,410 calls. One that reaches no seed reads after it.
-	findFor = 400 * time.Millisecond
-	// turnInterval is how often an instance looks whether it is to read.
-	turnInterval = 250 * time.Millisecond
-	// askShare is the part of the lease past which an instance that doesn't read asks
-	// a reader for a younger proof of the configuration, and askListShare the part of the time
-	// within which upstreams that leave must get nothing new past which it does so for the
-	// list: a reader's own proof is up to a half of that time old. What peers announce comes
-	// sooner; this is for links that bring nothing any more.
-	askShare     = 0.3
-	askListShare = 0.5
-	// alarmShare and alarmListShare are the parts past which it asks all peers, and reads
-	// itself.
-	alarmShare     = 0.5
-	alarmListShare = 1.0
-	// alarmHold is how long it goes on reading then, so that it doesn't begin and end
-	// in turn.
+	// discoveryTime is how long after its start an instance that knows no other leaves reading to
+	// the seeds: when a fleet starts all at once, each instance considers itself the first of its
+	// zone, and 295 of them made 1,410 calls. An instance that reaches no seed reads after this
+	// time.
+	discoveryTime = 400 * time.Millisecond
+	// roleCheckInterval is how often an instance checks whether it has to read the source.
+	roleCheckInterval = 250 * time.Millisecond
+	// configFetchShare is the share of the lease past which an instance that doesn't read the
+	// source fetches a more recent proof of the configuration from a reader. listFetchShare is the
+	// same for the list, as a share of the time within which leaving upstreams must get no new
+	// requests; a reader's own proof is up to half of that time old. Announcements of peers come
+	// sooner; these fetches are for links on which nothing arrives any more.
+	configFetchShare = 0.3
+	listFetchShare   = 0.5
+	// configAlarmShare and listAlarmShare are the shares past which it fetches from all peers, and
+	// reads the source itself.
+	configAlarmShare = 0.5
+	listAlarmShare   = 1.0
+	// alarmHold is how long it then keeps reading, so that it doesn't alternate between starting
+	// and stopping.
 	alarmHold = 10 * time.Second
-	// alarmedReaders is how many of a zone read once their configuration is too old, and
-	// widenAlarm the time in which they become twice as many while it stays so. If the source
-	// is away for all, more of them reach it no sooner, and 295 that ask until it is back are
-	// some thousand calls. If it turns a third of the instances away, one of eight and more
-	// reaches it but for 0.02% (worked out), and the others have its proof from it; so widening
-	// may take as long as a lease does. With 2 s all read again in an outage of 8 s.
+	// alarmedReaders is how many instances of a zone read the source once their configuration is
+	// stale, and widenInterval the time in which their number doubles while it stays so. If the
+	// source is down for all, more readers don't reach it sooner, and 295 that poll it until it is
+	// back make some thousand calls. If it rejects a third of the instances, at least one of eight
+	// reaches it, except with a probability of 0.02%, and the others get its proof from that one;
+	// so widening may take as long as a lease. With 2 s, an outage of 8 s made all instances read.
 	alarmedReaders = 8
-	widenAlarm     = 5 * time.Second
-	// askInterval is how often peers are asked.
-	askInterval = 400 * time.Millisecond
+	widenInterval  = 5 * time.Second
+	// fetchInterval is how often the age of the proofs is checked, and a fetch made if needed.
+	fetchInterval = 400 * time.Millisecond
 )
 
-// reading decides which instances read the source. Safe for concurrent use.
-type reading struct {
-	mu      sync.Mutex
-	on      bool
-	alarmed time.Time // when the configuration was last found too old
-	since   time.Time // since when it has been so, without a pause of alarmHold
+// readerElection decides whether this instance reads the source. It is safe for concurrent use.
+type readerElection struct {
+	mu           sync.Mutex
+	reading      bool
+	lastAlarm    time.Time // when the configuration or the list was last found stale
+	alarmedSince time.Time // since when it has been stale, without a gap of alarmHold
 }
 
-// active tells whether this instance reads.
-func (r *reading) active() bool {
+// active reports whether this instance reads the source.
+func (r *readerElection) active() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.on
+	return r.reading
 }
 
-func (r *reading) set(on bool) {
+func (r *readerElection) setActive(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.on = on
+	r.reading = on
 }
 
-// alarm notes that the configuration is too old.
-func (r *reading) alarm(now time.Time) {
+// recordAlarm records that the configuration or the list is stale.
+func (r *readerElection) recordAlarm(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.alarmed.IsZero() || now.Sub(r.alarmed) >= alarmHold {
-		r.since = now
+	if r.lastAlarm.IsZero() || now.Sub(r.lastAlarm) >= alarmHold {
+		r.alarmedSince = now
 	}
-	r.alarmed = now
+	r.lastAlarm = now
 }
 
-// alarmsFor returns how many of a zone are to read because of what is too old. The caller
-// holds the lock.
-func (r *reading) alarmsFor(now time.Time) int {
-	if r.alarmed.IsZero() || now.Sub(r.alarmed) >= alarmHold {
+// alarmedReaderCount returns how many instances of a zone have to read the source because of a
+// recent alarm. The caller holds the lock.
+func (r *readerElection) alarmedReaderCount(now time.Time) int {
+	if r.lastAlarm.IsZero() || now.Sub(r.lastAlarm) >= alarmHold {
 		return 0
 	}
-	return alarmedReaders << min(int(r.alarmed.Sub(r.since)/widenAlarm), maxWidenings)
+	return alarmedReaders << min(int(r.lastAlarm.Sub(r.alarmedSince)/widenInterval), maxWidenings)
 }
 
-// maxWidenings bounds the widening to more instances than a zone has.
+// maxWidenings bounds the doublings, to more instances than a zone has.
 const maxWidenings = 16
 
-// due tells whether an instance of an age is to read: it is one of the first hubs of its
-// zone, or one of some more whose configuration got too old lately. One that has just started
-// leaves it to the seeds.
-func (r *reading) due(now time.Time, age time.Duration, role peer.Role) bool {
+// shouldRead reports whether an instance of the given age and role has to read the source: it is
+// one of the first hubs of its zone, or one of the alarmed readers. An instance that has just
+// started leaves it to the seeds.
+func (r *readerElection) shouldRead(now time.Time, age time.Duration, role peer.Role) bool {
 	r.mu.Lock()
-	alarmed := role.ZoneRank < r.alarmsFor(now)
+	alarmed := role.ZoneRank < r.alarmedReaderCount(now)
 	r.mu.Unlock()
 	switch {
 	case alarmed:
 		return true
-	case age < findFor:
+	case age < discoveryTime:
 		return role.Seed || role.NoOtherSeed
 	default:
 		return role.HubRank >= 0 && role.HubRank < readersPerZone
 	}
 }
 
-// reader returns a peer of the zone that is linked to and reads, or "".
-func reader(zone string, peers []peer.Status) string {
+// zoneReader returns a linked peer of the zone that reads the source, or "".
+func zoneReader(zone string, peers []peer.Status) string {
 	for _, p := range peers {
 		if p.Linked && p.ReadsSource && p.Zone == zone {
 			return p.Address
@@ -116,79 +117,81 @@
 	return ""
 }
 
-// readInTurn reads the source whenever it is this instance's turn, until ctx ends.
-func (i *Instance) readInTurn(ctx context.Context) {
+// runReader reads the source while this instance has to, until ctx ends.
+func (i *Instance) runReader(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !i.isTurn() {
-			wait.For(ctx, i.untilNextTurn())
+		if !i.shouldRead() {
+			wait.For(ctx, i.nextRoleCheck())
 			continue
 		}
 		i.log.Info().Str("event", "reading_began").Msg("")
-		i.readUntilOthersDo(ctx)
+		i.readSource(ctx)
 		i.log.Info().Str("event", "reading_ended").Msg("")
 	}
 }
 
-// untilNextTurn is when to look again whether it is this instance's turn.
-func (i *Instance) untilNextTurn() time.Duration {
-	left := findFor - time.Since(i.started)
+// nextRoleCheck returns the time until the next check whether this instance has to read.
+func (i *Instance) nextRoleCheck() time.Duration {
+	left := discoveryTime - time.Since(i.started)
 	if left <= 0 {
-		return turnInterval
+		return roleCheckInterval
 	}
-	return min(left, turnInterval)
+	return min(left, roleCheckInterval)
 }
 
-func (i *Instance) isTurn() bool {
-	return i.reading.due(time.Now(), time.Since(i.started), i.mesh.Role())
+func (i *Instance) shouldRead() bool {
+	return i.election.shouldRead(time.Now(), time.Since(i.started), i.mesh.Role())
 }
 
-func (i *Instance) readUntilOthersDo(ctx context.Context) {
+// readSource reads the source until this instance doesn't have to any more, or ctx ends.
+func (i *Instance) readSource(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	i.reading.set(true)
-	defer i.reading.set(false)
+	i.election.setActive(true)
+	defer i.election.setActive(false)
 	var follow sync.WaitGroup
 	follow.Go(func() { i.view.Run(ctx) })
-	for ctx.Err() == nil && i.isTurn() {
-		wait.For(ctx, turnInterval)
+	for ctx.Err() == nil && i.shouldRead() {
+		wait.For(ctx, roleCheckInterval)
 	}
 	stop()
 	follow.Wait()
 }
 
-// askPeers keeps the configuration and the list proved: by a reader of the zone, and by
-// anybody once that fails.
-func (i *Instance) askPeers(ctx context.Context) {
-	for wait.For(ctx, askInterval) {
-		old := i.howOld()
-		if old == fresh {
+// refreshFromPeers keeps the proofs of the configuration and the list recent until ctx ends: by
+// fetches from a reader of the zone, and from any peer if those fail.
+func (i *Instance) refreshFromPeers(ctx context.Context) {
+	for wait.For(ctx, fetchInterval) {
+		worst := i.worstStaleness()
+		if worst == fresh {
 			continue
 		}
-		near := reader(i.settings.Zone, i.mesh.Peers())
-		if near != "" && old == ageing {
-			i.mesh.ScheduleFetch(near)
+		readerAddress := zoneReader(i.settings.Zone, i.mesh.Peers())
+		if readerAddress != "" && worst == ageing {
+			i.mesh.ScheduleFetch(readerAddress)
 			continue
 		}
-		if old == tooOld {
-			i.reading.alarm(time.Now())
+		if worst == stale {
+			i.election.recordAlarm(time.Now())
 		}
 		i.mesh.FetchAny(ctx)
 	}
 }
 
-// oldness is how old something is that peers can prove.
-type oldness int
+// staleness grades the age of the last proof that some state is current.
+type staleness int
 
-// What is ageing is asked for, what is too old alarms.
+// Ageing state is fetched from a reader of the zone; stale state raises the alarm.
 const (
-	fresh oldness = iota
+	fresh staleness = iota
 	ageing
-	tooOld
+	stale
 )
 
-// howOld tells how old the older of the configuration and the list is. While there is none,
-// its age is the time since the start, within which the others of the zone may read it.
-func (i *Instance) howOld() oldness {
+// worstStaleness returns the staleness of the configuration or the list, whichever is worse. The age
+// of one that this instance doesn't have yet is the time since its start, within which other
+// instances of the zone may read it.
+func (i *Instance) worstStaleness() staleness {
 	configuration, known := i.view.Age()
 	if !known {
 		configuration = time.Since(i.started)
@@ -198,15 +201,16 @@
 		list = time.Since(i.started)
 	}
 	r := i.settings.Routed
-	return max(oldnessOf(configuration, time.Duration(r.Lease), askShare, alarmShare),
-		oldnessOf(list, time.Duration(r.LeaveWithin), askListShare, alarmListShare))
+	return max(stalenessOf(configuration, time.Duration(r.Lease), configFetchShare, configAlarmShare),
+		stalenessOf(list, time.Duration(r.LeaveWithin), listFetchShare, listAlarmShare))
 }
 
-func oldnessOf(age, bound time.Duration, ask, alarm float64) oldness {
-	switch part := float64(age) / float64(bound); {
-	case part >= alarm:
-		return tooOld
-	case part >= ask:
+// stalenessOf grades an age by its share of a bound.
+func stalenessOf(age, bound time.Duration, fetch, alarm float64) staleness {
+	switch share := float64(age) / float64(bound); {
+	case share >= alarm:
+		return stale
+	case share >= fetch:
 		return ageing
 	default:
 		return fresh
--- a/internal/entry/reader_election_test.go
+++ b/internal/entry/reader_election_test.go
@@ -9,79 +9,79 @@
 	"github.com/tacktally/tacktally/internal/peer"
 )
 
-// The first hubs of a zone read; who they are is membership's to say.
-func TestTheFirstHubsOfAZoneRead(t *testing.T) {
+// The first hubs of a zone read the source. Package membership selects the hubs.
+func TestFirstHubsOfAZoneReadTheSource(t *testing.T) {
 	for name, c := range map[string]struct {
 		age  time.Duration
 		role peer.Role
 		want bool
 	}{
-		"first":                     {findFor, peer.Role{HubRank: 0}, true},
-		"second":                    {findFor, peer.Role{HubRank: 1}, true},
-		"third":                     {findFor, peer.Role{HubRank: 2}, false},
-		"none":                      {findFor, peer.Role{HubRank: -1}, false},
-		"a seed that is none":       {findFor, peer.Role{HubRank: -1, Seed: true}, false},
-		"first, just started":       {findFor - 1, peer.Role{HubRank: 0}, false},
-		"alone, just started":       {0, peer.Role{HubRank: 0, NoOtherSeed: true}, true},
-		"a seed, just started":      {0, peer.Role{HubRank: 2, Seed: true}, true},
-		"none, and it just started": {0, peer.Role{HubRank: -1}, false},
+		"first":                       {discoveryTime, peer.Role{HubRank: 0}, true},
+		"second":                      {discoveryTime, peer.Role{HubRank: 1}, true},
+		"third":                       {discoveryTime, peer.Role{HubRank: 2}, false},
+		"no hub":                      {discoveryTime, peer.Role{HubRank: -1}, false},
+		"seed, no hub":                {discoveryTime, peer.Role{HubRank: -1, Seed: true}, false},
+		"first, just started":         {discoveryTime - 1, peer.Role{HubRank: 0}, false},
+		"no other seed, just started": {0, peer.Role{HubRank: 0, NoOtherSeed: true}, true},
+		"seed, just started":          {0, peer.Role{HubRank: 2, Seed: true}, true},
+		"no hub, just started":        {0, peer.Role{HubRank: -1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r reading
-			is.New(t).Equal(r.due(time.Now(), c.age, c.role), c.want)
+			var r readerElection
+			is.New(t).Equal(r.shouldRead(time.Now(), c.age, c.role), c.want)
 		})
 	}
 }
 
-func TestAnOldProofMakesAnyInstanceReadForAWhile(t *testing.T) {
+func TestStaleProofMakesAnyInstanceReadForAlarmHold(t *testing.T) {
 	is := is.New(t)
-	var r reading
+	var r readerElection
 	now := time.Now()
-	none := peer.Role{HubRank: -1}
-	is.True(!r.due(now, time.Minute, none))
-	r.alarm(now)
-	is.True(r.due(now.Add(alarmHold/2), time.Minute, none))
-	is.True(!r.due(now.Add(alarmHold), time.Minute, none))
+	noHub := peer.Role{HubRank: -1}
+	is.True(!r.shouldRead(now, time.Minute, noHub))
+	r.recordAlarm(now)
+	is.True(r.shouldRead(now.Add(alarmHold/2), time.Minute, noHub))
+	is.True(!r.shouldRead(now.Add(alarmHold), time.Minute, noHub))
 }
 
-// While the source is away for all, not all ask it: eight of a zone, and twice as many each 5 s,
-// so that whoever alone can reach it is among them some time.
-func TestHowManyReadWhileWhatTheyHaveIsTooOld(t *testing.T) {
+// While the source is down for all instances, only some poll it: eight of a zone, and twice as many
+// every 5 s, so that an instance that alone can reach it is eventually among them.
+func TestReaderCountWidensWhileStateIsStale(t *testing.T) {
 	is := is.New(t)
-	var r reading
+	var r readerElection
 	start := time.Now()
 	reads := func(at time.Duration, rank int) bool {
-		return r.due(start.Add(at), time.Minute, peer.Role{HubRank: -1, ZoneRank: rank})
+		return r.shouldRead(start.Add(at), time.Minute, peer.Role{HubRank: -1, ZoneRank: rank})
 	}
-	for at := time.Duration(0); at <= 2*widenAlarm; at += askInterval {
-		r.alarm(start.Add(at))
-		want := alarmedReaders << int(at/widenAlarm)
+	for at := time.Duration(0); at <= 2*widenInterval; at += fetchInterval {
+		r.recordAlarm(start.Add(at))
+		want := alarmedReaders << int(at/widenInterval)
 		is.True(reads(at, want-1))
 		is.True(!reads(at, want))
 	}
-	is.True(reads(2*widenAlarm+alarmHold-time.Second, alarmedReaders-1)) // it is held
-	is.True(!reads(2*widenAlarm+alarmHold, 0))
-	r.alarm(start.Add(time.Hour)) // another time
+	is.True(reads(2*widenInterval+alarmHold-time.Second, alarmedReaders-1)) // within alarmHold of the last alarm
+	is.True(!reads(2*widenInterval+alarmHold, 0))
+	r.recordAlarm(start.Add(time.Hour)) // a later, separate alarm
 	is.True(!reads(time.Hour, alarmedReaders))
 }
 
-func TestFromWhichAgeOnPeersAreAsked(t *testing.T) {
-	for age, want := range map[time.Duration]oldness{
-		0: fresh, 999 * time.Millisecond: fresh, time.Second: ageing, 1999 * time.Millisecond: ageing, 2 * time.Second: tooOld, time.Hour: tooOld,
+func TestStalenessByAge(t *testing.T) {
+	for age, want := range map[time.Duration]staleness{
+		0: fresh, 999 * time.Millisecond: fresh, time.Second: ageing, 1999 * time.Millisecond: ageing, 2 * time.Second: stale, time.Hour: stale,
 	} {
-		is.New(t).Equal(oldnessOf(age, 2*time.Second, askListShare, alarmListShare), want)
+		is.New(t).Equal(stalenessOf(age, 2*time.Second, listFetchShare, listAlarmShare), want)
 	}
 }
 
-func TestTheReaderOfTheZoneIsAsked(t *testing.T) {
+func TestZoneReaderIsALinkedReaderOfTheSameZone(t *testing.T) {
 	is := is.New(t)
-	far := peer.Status{Address: "10.0.0.1:1", Zone: "merkato", Linked: true, ReadsSource: true}
-	near := peer.Status{Address: "10.0.0.2:1", Zone: "bole", Linked: true}
-	lost := peer.Status{Address: "10.0.0.3:1", Zone: "bole", Reachable: true, ReadsSource: true} // it has no link any more
-	is.Equal(reader("bole", []peer.Status{near, lost}), "")
-	is.Equal(reader("bole", []peer.Status{far, near, lost}), "")
-	near.ReadsSource = true
-	is.Equal(reader("bole", []peer.Status{far, near, lost}), "10.0.0.2:1")
-	near.ReadsSource = false
-	is.Equal(reader("bole", []peer.Status{far, near, lost}), "")
+	otherZone := peer.Status{Address: "10.0.0.1:1", Zone: "merkato", Linked: true, ReadsSource: true}
+	sameZone := peer.Status{Address: "10.0.0.2:1", Zone: "bole", Linked: true}
+	unlinked := peer.Status{Address: "10.0.0.3:1", Zone: "bole", Reachable: true, ReadsSource: true} // its link is down
+	is.Equal(zoneReader("bole", []peer.Status{sameZone, unlinked}), "")
+	is.Equal(zoneReader("bole", []peer.Status{otherZone, sameZone, unlinked}), "")
+	sameZone.ReadsSource = true
+	is.Equal(zoneReader("bole", []peer.Status{otherZone, sameZone, unlinked}), "10.0.0.2:1")
+	sameZone.ReadsSource = false
+	is.Equal(zoneReader("bole", []peer.Status{otherZone, sameZone, unlinked}), "")
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -17,44 +17,46 @@
 )
 
 const (
-	// readHeaderTimeout is the time a caller has to send a head it has begun.
+	// readHeaderTimeout is how long a caller may take to send the head of a request.
 	readHeaderTimeout = 10 * time.Second
 	// idleTimeout is how long an idle connection of a caller is kept.
 	idleTimeout = 2 * time.Minute
-	// listenFor is how long new requests are taken after the signal to end, so that a
-	// balancer that asks once a second has noticed, after two misses and a half.
-	listenFor = 2500 * time.Millisecond
-	// endMargin is the time before the end of the grace at which what still runs is
-	// given up, so that the process ends itself.
-	endMargin = 300 * time.Millisecond
-	// callersShare is the part of the descriptors that callers' connections may take. The
-	// rest is for upstreams and peers. 8,000 idle connections cost 11 KB each.
-	callersShare = 0.6
-	// idlePoll is how often an instance that shuts down looks whether it is idle.
-	idlePoll = 20 * time.Millisecond
+	// drainListenTime is how long new requests are accepted after the signal to stop, so that a
+	// load balancer that checks readiness once a second has noticed, after two and a half failed
+	// checks.
+	drainListenTime = 2500 * time.Millisecond
+	// shutdownMargin is the time before the end of the grace period at which remaining requests are
+	// aborted, so that the process can exit by itself.
+	shutdownMargin = 300 * time.Millisecond
+	// callerConnectionShare is the share of the file descriptors that callers' connections may use.
+	// The rest is for upstreams and peers. 8,000 idle connections cost 11 KB each.
+	callerConnectionShare = 0.6
+	// idlePollInterval is how often an instance that shuts down checks whether requests still run.
+	idlePollInterval = 20 * time.Millisecond
 )
 
-// readiness answers readiness checks.
+// readiness serves readiness checks.
 type readiness struct {
 	view     *view.View
 	draining atomic.Bool
 }
 
-// ServeHTTP implements http.Handler: 200 while the instance can serve.
+// ServeHTTP implements http.Handler. It responds with 200 while the instance can serve, and with
+// 503 otherwise.
 func (r *readiness) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	state := r.state()
 	if state != stateReady {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_, _ = w.Write([]byte(state + "\n")) // whoever asks may have gone
+	_, _ = w.Write([]byte(state + "\n")) // the requester may have disconnected
 }
 
-// The states of an instance.
+// The states of an instance, as reported by readiness checks.
 const (
-	stateReady      = "ready"
-	stateStarting   = "starting"
-	stateDraining   = "draining"
-	stateOutOfTouch = "out of touch"
+	stateReady    = "ready"
+	stateStarting = "starting"
+	stateDraining = "draining"
+	stateStale    = "out of touch"
 )
 
 func (r *readiness) state() string {
@@ -65,13 +67,13 @@
 	case !known || r.view.ListVersion() == 0:
 		return stateStarting
 	case !r.view.Fresh(age):
-		return stateOutOfTouch
+		return stateStale
 	default:
 		return stateReady
 	}
 }
 
-// listeners of an instance.
+// listeners are the listeners of an instance.
 type listeners struct {
 	callers *listen.Callers
 	ready   net.Listener
@@ -84,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	l.callers = listen.NewCallers(callers, mostCallers(s.Routed.MaxFiles), func() { m.Count("tacktally_connections_refused_total") })
+	l.callers = listen.NewCallers(callers, maxCallerConnections(s.Routed.MaxFiles), func() { m.Count("tacktally_connections_refused_total") })
 	if l.ready, err = listen.TCP("routed.ready", s.Routed.Ready); err != nil {
 		return err
 	}
@@ -95,9 +97,10 @@
 	return err
 }
 
-// mostCallers is how many connections of callers are open at once, of so many descriptors.
-func mostCallers(files int) int {
-	return max(int(callersShare*float64(files-settings.ReservedFiles)), 1)
+// maxCallerConnections returns how many connections of callers may be open at once, given the
+// number of file descriptors.
+func maxCallerConnections(files int) int {
+	return max(int(callerConnectionShare*float64(files-settings.ReservedFiles)), 1)
 }
 
 // servers are the running HTTP servers.
@@ -111,13 +114,13 @@
 	mesh.Handle(peer.Path, i.mesh)
 	metrics := http.NewServeMux()
 	metrics.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { i.metrics.Write(w) })
-	metrics.HandleFunc("GET "+ZoneReportPath, i.servePlaces)
-	s := &servers{callers: i.start(l.callers, i.proxy, l.callers.State)}
-	s.others = []*http.Server{i.start(l.ready, &i.ready, nil), i.start(l.peers, mesh, nil), i.start(l.metrics, metrics, nil)}
+	metrics.HandleFunc("GET "+ZoneReportPath, i.serveZoneReport)
+	s := &servers{callers: i.startServer(l.callers, i.proxy, l.callers.State)}
+	s.others = []*http.Server{i.startServer(l.ready, &i.ready, nil), i.startServer(l.peers, mesh, nil), i.startServer(l.metrics, metrics, nil)}
 	return s
 }
 
-func (i *Instance) start(l net.Listener, h http.Handler, state func(net.Conn, http.ConnState)) *http.Server {
+func (i *Instance) startServer(l net.Listener, h http.Handler, state func(net.Conn, http.ConnState)) *http.Server {
 	s := &http.Server{
 		Handler:           h,
 		MaxHeaderBytes:    i.settings.Callers.MaxHeaderBytes,
@@ -128,31 +131,31 @@
 	go func() {
 		err := s.Serve(l)
 		if !errors.Is(err, http.ErrServerClosed) {
-			i.log.Error().Str("event", "listener_lost").Str("address", l.Addr().String()).Str("cause", err.Error()).Msg("")
+			i.log.Error().Str("event", "listener_lost").Str("address", l.Addr().String()).Str("cause", err.Error()).Msg("listener failed; it accepts no more connections")
 		}
 	}()
 	return s
 }
 
-// shutDown says that the instance isn't ready, goes on serving while callers may
-// still be sent here, then takes no new connections, and waits for what runs until
-// the grace is over.
+// shutDown reports the instance as not ready, keeps serving for drainListenTime since callers may
+// still be sent here, then accepts no new connections, and waits for running requests until the
+// grace period ends.
 func (i *Instance) shutDown(s *servers) {
 	i.log.Info().Str("event", "draining").Int("in_flight", i.proxy.InFlight()).Msg("")
 	i.ready.draining.Store(true)
 	i.proxy.Drain()
 	i.mesh.Announce()
 	grace := time.Duration(i.settings.Routed.Grace)
-	ctx, cancel := context.WithTimeout(context.Background(), grace-endMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), grace-shutdownMargin)
 	defer cancel()
-	wait.For(ctx, min(listenFor, grace/2))
+	wait.For(ctx, min(drainListenTime, grace/2))
 	err := s.callers.Shutdown(ctx)
-	for err == nil && i.proxy.InFlight() > 0 && wait.For(ctx, idlePoll) {
+	for err == nil && i.proxy.InFlight() > 0 && wait.For(ctx, idlePollInterval) {
 	}
 	if i.proxy.InFlight() > 0 {
-		i.log.Warn().Str("event", "drain_timeout").Int("in_flight", i.proxy.InFlight()).Msg("")
+		i.log.Warn().Str("event", "drain_timeout").Int("in_flight", i.proxy.InFlight()).Msg("grace period is over; remaining requests are aborted")
 	}
-	_ = s.callers.Close() // what still runs is given up
+	_ = s.callers.Close() // aborts the requests that still run
 	for _, o := range s.others {
 		_ = o.Close()
 	}
--- a/internal/entry/zone_report.go
+++ b/internal/entry/zone_report.go
@@ -10,20 +10,18 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// ZoneReportPath is where the metrics listener says what is known of availability zones and of cold
-// upstreams, as JSON of type Places.
+// ZoneReportPath is the path at which the metrics listener serves a ZoneReport as JSON.
 const ZoneReportPath = "/places"
 
 // ZoneReport is what one instance knows of availability zones and of cold upstreams.
 type ZoneReport struct {
 	Instance string `json:"instance"`
-	// Version is the revision of the source up to which evacuations are known; 0 where they
-	// aren't.
+	// Version is the revision of the source up to which evacuations are known; 0 if none are.
 	Version int64  `json:"version"`
 	Zones   []Zone `json:"zones"`
-	// Cold upstreams by what their entries say.
+	// Cold are the upstreams that are cold by their entries.
 	Cold []ColdUpstream `json:"cold"`
-	// LimitedGrants is how often waiting work was held back here by the limits of starts alone.
+	// LimitedGrants is how often waiting work was delayed here only by grant limits.
 	LimitedGrants int64 `json:"heldStarts"`
 }
 
@@ -31,23 +29,23 @@
 type Zone struct {
 	Name      string `json:"name"`
 	Evacuated bool   `json:"evacuated"`
-	// Upstreams that are listed there.
+	// Upstreams is the number of listed upstreams in the zone.
 	Upstreams int `json:"upstreams"`
-	// Running are this instance's requests at its upstreams now. A zone is empty once this is 0 at
-	// all instances.
+	// Running is the number of this instance's requests at the zone's upstreams. The zone is empty
+	// once this is 0 at all instances.
 	Running int `json:"running"`
 }
 
-// ColdUpstream is an upstream that bears less than others for a while.
+// ColdUpstream is an upstream that can serve only its cold-start rate for a while.
 type ColdUpstream struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
-	// RemainingMS is how many milliseconds longer.
+	// RemainingMS is the time for which it stays cold, in milliseconds.
 	RemainingMS int64 `json:"leftMS"`
 }
 
-// places tells what is known now.
-func (i *Instance) places() ZoneReport {
+// zoneReport returns the current report.
+func (i *Instance) zoneReport() ZoneReport {
 	evacuated := i.view.Evacuated()
 	list := i.view.List().Upstreams
 	out := ZoneReport{Instance: i.address, Version: evacuated.Version, Zones: i.zones(evacuated.Zones, list), LimitedGrants: i.fleet.HeldStarts()}
@@ -59,7 +57,7 @@
 	return out
 }
 
-// zones are all that upstreams are in, or that are evacuated, in order.
+// zones returns all zones that have upstreams or are evacuated, sorted by name.
 func (i *Instance) zones(evacuated []string, list []view.Upstream) []Zone {
 	byName := map[string]*Zone{}
 	zone := func(name string) *Zone {
@@ -82,22 +80,22 @@
 	return out
 }
 
-func (i *Instance) servePlaces(w http.ResponseWriter, _ *http.Request) {
+func (i *Instance) serveZoneReport(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.MarshalWrite(w, i.places(), json.FormatNilSliceAsNull(false)) // whoever asks may have gone
+	_ = json.MarshalWrite(w, i.zoneReport(), json.FormatNilSliceAsNull(false)) // the requester may have disconnected
 }
 
-// gaugeZones keeps a gauge of the requests at each zone's upstreams.
-func (i *Instance) gaugeZones(upstreams []view.Upstream) {
+// registerZoneGauges registers a gauge of the running requests for each new zone of the upstreams.
+func (i *Instance) registerZoneGauges(upstreams []view.Upstream) {
 	for _, u := range upstreams {
 		zone := u.Zone
-		if i.gauged[zone] {
+		if i.zoneGauges[zone] {
 			continue
 		}
-		if i.gauged == nil {
-			i.gauged = map[string]bool{}
+		if i.zoneGauges == nil {
+			i.zoneGauges = map[string]bool{}
 		}
-		i.gauged[zone] = true
+		i.zoneGauges[zone] = true
 		i.metrics.Gauge("tacktally_running_in_zone{zone=\""+zone+"\"}", func() float64 { return float64(i.proxy.RunningIn(zone)) })
 	}
 }
