--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,6 +1,6 @@
-// Package keepalive bounds how long a TCP connection may be dead without anybody noticing.
-// A machine without power, a path that drops packets, or a middlebox that forgot the
-// connection sends no reset: only the kernel's own timers show it.
+// Package keepalive bounds how long a dead TCP connection may stay undetected. A machine without
+// power, a network path that drops packets, or a middlebox that lost the connection's state sends
+// no reset: only the kernel's timers detect it.
 package keepalive
 
 import (
@@ -11,55 +11,54 @@
 )
 
 const (
-	// idle is the silence after which the kernel asks the other side for a sign of life,
-	// interval the time between two asks. The kernel counts both in whole seconds.
+	// idle is the silence after which the kernel sends the first keepalive probe, and interval the
+	// time between two probes. The kernel counts both in whole seconds.
 	idle     = time.Second
 	interval = time.Second
-	// probes is how many asks may stay unanswered: one may get lost.
+	// probes is how many keepalive probes may stay unanswered: one may get lost.
 	probes = 2
-	// unacknowledged is how long bytes sent on a dialled connection may stay without an
-	// acknowledgement. Three retransmissions that get lost in a row, as one in 30,000 does
-	// on a link that loses 3% of its packets, take 1.4 s. It also bounds how late a request
-	// that a path holds up may still arrive, which is to be less than the 2 s within which an
-	// upstream that leaves must get nothing new.
-	unacknowledged = 1500 * time.Millisecond
-	// unread is the same for accepted connections. The kernel counts it also while the
-	// other side lives and doesn't read, so it bounds how long a caller may pause within a
-	// large answer.
-	unread = 10 * time.Second
-	// DeadAfter is the time within which a dead connection ends with an error: a dialled
-	// one, and an accepted one on which nothing was sent. One on which something was sent
-	// ends within UnreadAfter.
+	// dialledUserTimeout is how long bytes sent on a dialled connection may stay unacknowledged.
+	// Three retransmissions lost in a row, as one in 30,000 is on a link with 3% packet loss, take
+	// 1.4 s. It also bounds how late a request that is delayed on a network path may still arrive:
+	// less than the 2 s within which an upstream that leaves must get no new requests.
+	dialledUserTimeout = 1500 * time.Millisecond
+	// acceptedUserTimeout is the same for accepted connections. The kernel also counts it while the
+	// other side is alive and doesn't read, so it bounds how long a caller may pause within a large
+	// response.
+	acceptedUserTimeout = 10 * time.Second
+	// DeadAfter is the time within which a dead connection ends with an error if it was dialled, or
+	// accepted and has no unacknowledged bytes. An accepted connection with unacknowledged bytes
+	// ends within AcceptedDeadAfter.
 	DeadAfter         = idle + probes*interval
-	AcceptedDeadAfter = unread
+	AcceptedDeadAfter = acceptedUserTimeout
 	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT, in milliseconds.
 	tcpUserTimeout = 0x12
 )
 
-// Config is for net.Dialer and net.ListenConfig.
+// Config returns the keepalive settings for net.Dialer and net.ListenConfig.
 func Config() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: idle, Interval: interval, Count: probes}
 }
 
-// Control bounds how long sent bytes may stay unacknowledged. It is for net.Dialer.
-func Control(_, _ string, raw syscall.RawConn) error { return bound(raw, unacknowledged) }
+// Control sets dialledUserTimeout on a socket. It is for net.Dialer.
+func Control(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, dialledUserTimeout) }
 
-func bound(raw syscall.RawConn, unacknowledged time.Duration) error {
+func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledged.Milliseconds()))
+		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 	})
 	return errors.Join(err, failed)
 }
 
-// Listener sets the same on each connection that l accepts. L is a TCP listener with
-// Config, which leaves only that to be set.
+// Listener sets acceptedUserTimeout on each connection that l accepts. l is a TCP listener made
+// with Config, which sets everything else.
 func Listener(l net.Listener) net.Listener { return &listener{l} }
 
 type listener struct{ net.Listener }
 
-// Accept implements net.Listener. A connection that already ended can't be set up and is
-// returned as it is: its first use says so.
+// Accept implements net.Listener. A connection that has already ended can't be configured and is
+// returned as it is: its first use reports the error.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -67,7 +66,7 @@
 	}
 	if t, ok := c.(syscall.Conn); ok {
 		if raw, err := t.SyscallConn(); err == nil {
-			_ = bound(raw, unread)
+			_ = setUserTimeout(raw, acceptedUserTimeout)
 		}
 	}
 	return c, nil
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// options reads what the kernel was told of a connection.
+// options returns the keepalive options that the kernel has for a connection.
 func options(t *testing.T, c net.Conn) map[string]int {
 	t.Helper()
 	is := is.New(t)
@@ -31,9 +31,9 @@
 	return out
 }
 
-// A silenced connection can't be had on loopback, where the kernel answers for itself: that
-// the kernel is told of the bounds, on both sides, is what can be shown here.
-func TestBothSidesOfAConnectionAreBounded(t *testing.T) {
+// A silenced connection can't be produced on loopback, where the kernel itself replies. The test
+// checks that the bounds are set in the kernel on both sides.
+func TestBothSidesOfAConnectionHaveTimeouts(t *testing.T) {
 	is := is.New(t)
 	want := map[string]int{"keepalive": 1, "idle": 1, "interval": 1, "probes": 2, "unacknowledged": 1500}
 	plain, err := (&net.ListenConfig{KeepAliveConfig: Config()}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -47,6 +47,6 @@
 	is.NoErr(err)
 	defer accepted.Close()
 	is.Equal(options(t, dialled), want)
-	want["unacknowledged"] = 10_000 // a caller may pause within an answer
+	want["unacknowledged"] = 10_000 // a caller may pause within a response
 	is.Equal(options(t, accepted), want)
 }
