--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -57,35 +57,35 @@
 }
 
 // handle writes one frame to the buffer, and sends credit for the data that was read.
-func (a *incomingResponse) handle(ctx context.Context, f *Frame) (done bool, err error) {
+func (r *incomingResponse) handle(ctx context.Context, f *Frame) (done bool, err error) {
 	switch f.Type {
 	case TypeHead:
-		a.buffer.Start(*f.Head)
+		r.buffer.Start(*f.Head)
 	case TypeData:
-		if err := a.write(ctx, f.Data); err != nil {
+		if err := r.write(ctx, f.Data); err != nil {
 			return false, err
 		}
-		a.uncredited += charge(len(f.Data))
-		if a.uncredited < creditThreshold {
+		r.uncredited += charge(len(f.Data))
+		if r.uncredited < creditThreshold {
 			return false, nil
 		}
-		err := a.link.send(ctx, &Frame{Type: TypeCredit, Stream: a.id, Credit: a.uncredited})
-		a.uncredited = 0
+		err := r.link.send(ctx, &Frame{Type: TypeCredit, Stream: r.id, Credit: r.uncredited})
+		r.uncredited = 0
 		return false, err
 	case TypeEnd:
-		a.buffer.Finish(*f.End)
+		r.buffer.Finish(*f.End)
 		return true, nil
 	}
 	return false, nil
 }
 
-func (a *incomingResponse) write(ctx context.Context, data []byte) error {
-	n := min(a.skip, len(data))
-	a.skip -= n
+func (r *incomingResponse) write(ctx context.Context, data []byte) error {
+	n := min(r.skip, len(data))
+	r.skip -= n
 	if n == len(data) {
 		return nil
 	}
-	return a.buffer.Write(ctx, data[n:])
+	return r.buffer.Write(ctx, data[n:])
 }
 
 // SendPressure notifies every reachable peer of the zone that work is about to be shed for lack of
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -201,10 +201,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	unread := answer.New(false)
-	stuck := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := p.a.Forward(ctx, p.addressB, newRequest("/", bytes.Repeat([]byte("x;"), 1<<20)), unread)
-		stuck <- err
+		result <- err
 	}()
 	for range 10 {
 		got, err := p.forward(t.Context(), "/", "hello")
@@ -212,7 +212,7 @@
 		is.Equal(got, "hello")
 	}
 	cancel()
-	is.True(<-stuck != nil)
+	is.True(<-result != nil)
 }
 
 func TestFetchPassesStateToHandler(t *testing.T) {
