--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -47,7 +47,7 @@
 	a.dispatcher.budget.Deposit()
 	var last upstream.Result
 	for range maxAttempts {
-		if left := a.dispatcher.o.Quarantine.Held(time.Now(), a.key); left > 0 {
+		if left := a.dispatcher.o.Quarantine.Remaining(time.Now(), a.key); left > 0 {
 			return a.givenUp(ctx, quarantine.Refusal(left))
 		}
 		grant, problem := a.acquire(ctx)
@@ -91,17 +91,17 @@
 	a.epoch = gate.Detector.Epoch()
 	r := a.request
 	return a.pool.Acquire(ctx, &scheduler.Request{
-		Rank:         a.tier.Rank,
-		Organisation: r.Organisation,
-		Share:        a.organisation.Share,
-		Arrived:      r.Arrived,
-		Deadline:     r.Deadline,
-		FirstToken:   a.tier.FirstToken,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Chain:        r.Chain,
-		Bytes:        len(r.Body),
-		Exclude:      a.exclude,
+		Rank:                a.tier.Rank,
+		Organisation:        r.Organisation,
+		Share:               a.organisation.Share,
+		Arrived:             r.Arrived,
+		Deadline:            r.Deadline,
+		MaxTimeToFirstToken: a.tier.FirstToken,
+		PromptTokens:        r.Prompt,
+		MaxOutput:           r.Output,
+		PrefixHashes:        r.Chain,
+		Bytes:               len(r.Body),
+		FailedUpstream:      a.exclude,
 	})
 }
 
@@ -125,8 +125,8 @@
 	if !time.Now().Before(a.request.Deadline) {
 		return context.DeadlineExceeded
 	}
-	if a.dispatcher.o.Quarantine.Held(time.Now(), a.key) > 0 {
-		return quarantine.ErrHeld
+	if a.dispatcher.o.Quarantine.Remaining(time.Now(), a.key) > 0 {
+		return quarantine.ErrQuarantined
 	}
 	return nil
 }
@@ -135,12 +135,12 @@
 func (a *attempts) send(ctx context.Context, g *scheduler.Grant, call upstream.Call) upstream.Result {
 	call.OnFirst = sync.OnceFunc(func() {
 		a.dispatcher.o.Metrics.FirstToken(a.tier.Name, time.Since(a.request.Arrived))
-		a.pool.FirstToken(g)
+		a.pool.RecordFirstToken(g)
 	})
 	if !a.request.Stream && a.request.Kind != request.Service {
 		// A whole answer doesn't show its first token: the prompt counts as read
 		// after the time predicted for it.
-		t := time.AfterFunc(g.Predicted(), func() {
+		t := time.AfterFunc(g.PredictedFirstToken(), func() {
 			a.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.AssumeFirstToken(now, g) })
 		})
 		defer t.Stop()
@@ -171,18 +171,18 @@
 	a.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
 		switch result.Status {
 		case upstream.Done:
-			return core.Done(now, g, result.Output)
+			return core.RecordCompleted(now, g, result.Output)
 		case upstream.Busy:
-			return core.Busy(now, g)
+			return core.RecordBusy(now, g)
 		case upstream.Cancelled, upstream.Timeout:
-			return core.Cancelled(now, g)
+			return core.RecordCancelled(now, g)
 		case upstream.NotWritten:
 			if isOwnDoing(result.Err) {
-				return core.Cancelled(now, g)
+				return core.RecordCancelled(now, g)
 			}
-			return core.Failed(now, g)
+			return core.RecordFailure(now, g)
 		default:
-			return core.Failed(now, g)
+			return core.RecordFailure(now, g)
 		}
 	})
 	a.learnOfCrash(g.Upstream.Address, result)
@@ -196,7 +196,7 @@
 
 // isOwnDoing tells an end on our side from a failure of the upstream.
 func isOwnDoing(err error) bool {
-	return errors.Is(err, errPaused) || errors.Is(err, quarantine.ErrHeld) || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
+	return errors.Is(err, errPaused) || errors.Is(err, quarantine.ErrQuarantined) || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
 // retry decides whether the request is sent again, elsewhere.
@@ -208,7 +208,7 @@
 			d.retried(a.request, api.RetryPaused, result.Err)
 			return true
 		}
-		if errors.Is(result.Err, quarantine.ErrHeld) {
+		if errors.Is(result.Err, quarantine.ErrQuarantined) {
 			return true // to be refused: not for want of an upstream
 		}
 		a.exclude = g.Upstream.Address
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -35,7 +35,7 @@
 		"after a while": {10 * time.Second, true, time.Minute, nil},
 		"after a pause": {pause.Threshold + 1, false, time.Minute, errPaused},
 		"too late":      {2 * time.Second, true, time.Second, context.DeadlineExceeded},
-		"held back":     {0, true, time.Minute, quarantine.ErrHeld},
+		"held back":     {0, true, time.Minute, quarantine.ErrQuarantined},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -54,8 +54,8 @@
 				}
 				if name == "held back" {
 					for _, upstream := range []string{"1", "2", "3"} {
-						book.Lost(time.Now(), upstream, a.key, false)
-						book.Crashed(time.Now(), upstream)
+						book.RecordLostResponse(time.Now(), upstream, a.key, false)
+						book.RecordCrash(time.Now(), upstream)
 					}
 				}
 				<-time.After(c.since) // virtual time
@@ -67,7 +67,7 @@
 
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
-	b := retrybudget.New(retrybudget.Options{Share: 0.1, Floor: budgetFloor, Ceiling: budgetCeiling})
+	b := retrybudget.New(retrybudget.Options{Share: 0.1, Initial: budgetFloor, Max: budgetCeiling})
 	granted := 0
 	for range 1000 {
 		b.Deposit()
@@ -115,10 +115,10 @@
 	list := []platform.Instance{{Address: "10.0.0.1:1", Zone: "bole", Set: "readers", State: platform.Live}}
 	d.SetInstances(list)
 	p := d.pool("readers")
-	submit := func(prompt int) chan pool.Turn {
-		turns := make(chan pool.Turn, 1)
+	submit := func(prompt int) chan pool.Decision {
+		turns := make(chan pool.Decision, 1)
 		now := time.Now()
-		r := &scheduler.Request{Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(time.Hour), Prompt: prompt, Output: 1, Value: turns}
+		r := &scheduler.Request{Organisation: "a", Share: 1, Arrived: now, Deadline: now.Add(time.Hour), PromptTokens: prompt, MaxOutput: 1, Value: turns}
 		p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions { return core.Submit(now, r) })
 		return turns
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -16,26 +16,26 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// nothing is a source and a protocol that know nothing.
+// nothing is a source and a protocol without any data.
 type nothing struct{}
 
-func (nothing) Entry(_ context.Context, id string) (view.Change, error) {
-	return view.Change{Gone: true, Upstream: view.Upstream{ID: id}}, nil
+func (nothing) ReadEntry(_ context.Context, id string) (view.Change, error) {
+	return view.Change{Removed: true, Upstream: view.Upstream{ID: id}}, nil
 }
 func (nothing) Run(ctx context.Context, _ view.Sink)     { <-ctx.Done() }
 func (nothing) Decode([]byte) (*routing.Document, error) { return nil, errors.New("nothing") }
-func (nothing) ReadCall(*http.Request) (proxy.Call, error) {
-	return proxy.Call{}, errors.New("nothing")
+func (nothing) ParseRequest(*http.Request) (proxy.RequestInfo, error) {
+	return proxy.RequestInfo{}, errors.New("nothing")
 }
-func (nothing) Forward(h http.Header) http.Header                  { return h.Clone() }
-func (nothing) Prepare(http.Header, proxy.Attempt)                 {}
-func (nothing) Answers(http.Header, string) bool                   { return false }
-func (nothing) ReadHead(int, http.Header) proxy.Head               { return proxy.Head{} }
+func (nothing) ForwardHeaders(h http.Header) http.Header           { return h.Clone() }
+func (nothing) SetAttemptHeaders(http.Header, proxy.Attempt)       {}
+func (nothing) IsResponseTo(http.Header, string) bool              { return false }
+func (nothing) ParseResponse(int, http.Header) proxy.ResponseInfo  { return proxy.ResponseInfo{} }
 func (nothing) WriteProblem(w http.ResponseWriter, _ *api.Problem) { w.WriteHeader(http.StatusTeapot) }
 
-// From its first request on an instance must not take itself for the whole fleet: 87 of
-// them, all just started, granted an organisation a rate and more each.
-func TestAnInstanceHasNotSettledWhenItStarts(t *testing.T) {
+// An instance that has just started must not consider itself the whole fleet from its first request
+// on: 87 instances that had just started each granted an organisation a whole rate and more.
+func TestInstanceIsNotSettledAtStart(t *testing.T) {
 	is := is.New(t)
 	s := &settings.Settings{
 		Zone:    "bole",
@@ -44,7 +44,7 @@
 		Routed:  &settings.Routed{Store: "127.0.0.1:9", Ready: "127.0.0.1:0", Metrics: "127.0.0.1:0"},
 	}
 	s.Provision()
-	i, err := New(Options{Settings: s, Source: nothing{}, Protocol: nothing{}, LogTo: io.Discard})
+	i, err := New(Options{Settings: s, Source: nothing{}, Protocol: nothing{}, LogWriter: io.Discard})
 	is.NoErr(err)
 	t.Cleanup(i.mesh.Close)
 	is.True(!i.fleet.Settled())
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -12,72 +12,72 @@
 )
 
 const (
-	// shardSize is the number of upstreams up to which a service has one shard: what
-	// one instance schedules without becoming the bottleneck. With more there are as
-	// many shards as keep each below it.
+	// shardSize is the maximum number of upstreams of one shard: what one instance can schedule without
+	// becoming the bottleneck. A service with more upstreams gets as many shards as needed.
 	shardSize = 128
-	// maxOwners is how many instances are asked for a slot in turn, before this one
-	// decides by itself.
+	// maxOwners is how many instances a slot is requested from, one after the other, before this instance
+	// decides on its own.
 	maxOwners = 2
-	// ackWithin is how long an owner may take to say that it has a request. Its
-	// processor may be held back for a tenth of a second.
-	ackWithin = 150 * time.Millisecond
-	// distrustFor is how long an owner that said nothing isn't asked again.
-	distrustFor = time.Second
-	// coresExponent makes large instances own more than their part: one with twice the
-	// processor time sixteen times as often. On loaded days an owner spent 0.06 cores
-	// where others spent 0.02, and the smallest instances have 0.19.
+	// ackTimeout is how long an owner may take to acknowledge a request. Its processor may be throttled
+	// for 100 ms.
+	ackTimeout = 150 * time.Millisecond
+	// unresponsiveFor is how long an owner that didn't reply gets no further requests.
+	unresponsiveFor = time.Second
+	// coresExponent gives large instances a more than proportional share of ownership: one with twice the
+	// processor time owns 16 times as many shards. Under high load an owner spends 0.06 cores where
+	// others spend 0.02, and the smallest instances have 0.19.
 	coresExponent = 4
-	// assumedCores is counted for an instance that doesn't say.
+	// assumedCores is the processor time assumed for an instance that doesn't report it.
 	assumedCores = 1
 )
 
-// owners says which instance schedules a shard. Each instance works it out by itself from
-// the instances within its reach (weighted rendezvous hashing), so nothing is agreed on:
-// while views differ, a shard has two owners, and its upstreams get more than they have
-// slots for, which they queue. Safe for concurrent use.
+// owners determines which instance schedules a shard. Each instance computes it on its own from the
+// reachable instances (weighted rendezvous hashing), without any agreement: while views differ, a shard
+// has two owners, and its upstreams get more requests than they have slots for, which they queue. Safe
+// for concurrent use.
 type owners struct {
-	mu      sync.Mutex
-	ranked  map[shardKey][]string // addresses, the owner first
-	silent  map[string]time.Time  // when they were found to be
-	ownerOf map[shardKey]string   // as logged last
+	mu           sync.Mutex
+	ranked       map[shardKey][]string // addresses, the owner first
+	unresponsive map[string]time.Time  // since when, by address
+	lastOwner    map[shardKey]string   // as last logged
 }
 
-// shardKey names a shard, or a bucket of tokens.
+// shardKey identifies a shard, or a group of token buckets or quarantined requests.
 type shardKey struct {
 	service string
 	index   int
-	// settled: only instances that have settled may own it.
-	settled bool
+	// settledOnly restricts ownership to settled instances.
+	settledOnly bool
 }
 
-// forget drops the ranking after a change of instances.
-func (o *owners) forget() {
+// invalidate drops the cached rankings after a change of instances.
+func (o *owners) invalidate() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ranked = nil
 }
 
-// distrust notes that an instance said nothing when it was asked.
-func (o *owners) distrust(address string, now time.Time) {
+// markUnresponsive records that an instance didn't reply to a request.
+func (o *owners) markUnresponsive(address string, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.silent == nil {
-		o.silent = map[string]time.Time{}
+	if o.unresponsive == nil {
+		o.unresponsive = map[string]time.Time{}
 	}
-	o.silent[address] = now
+	o.unresponsive[address] = now
 }
 
-// first tells whether an instance is one of the first that others ask for a slot of a shard.
-func (o *owners) first(k shardKey, instances []Instance, address string) bool {
+// isCandidate reports whether an instance is one of the first maxOwners that other instances request
+// slots of a shard from.
+func (o *owners) isCandidate(k shardKey, instances []Instance, address string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ranked := o.rankOf(k, instances)
+	ranked := o.ranking(k, instances)
 	return slices.Contains(ranked[:min(maxOwners, len(ranked))], address)
 }
 
-// rankOf returns the instances that may own a shard, in order. The caller holds the lock.
-func (o *owners) rankOf(k shardKey, instances []Instance) []string {
+// ranking returns the instances that may own a shard, the first owner first. The caller holds the lock.
+func (o *owners) ranking(k shardKey, instances []Instance) []string {
 	ranked, known := o.ranked[k]
 	if !known {
 		ranked = rank(k, instances)
@@ -89,14 +89,14 @@
 	return ranked
 }
 
-// of returns the instances to ask for a slot of a shard, in order.
-func (o *owners) of(k shardKey, instances []Instance, now time.Time) []string {
+// candidates returns the instances to request a slot of a shard from, in order.
+func (o *owners) candidates(k shardKey, instances []Instance, now time.Time) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for _, address := range o.rankOf(k, instances) {
-		since, silent := o.silent[address]
-		if silent && now.Sub(since) < distrustFor {
+	for _, address := range o.ranking(k, instances) {
+		since, silent := o.unresponsive[address]
+		if silent && now.Sub(since) < unresponsiveFor {
 			continue
 		}
 		if out = append(out, address); len(out) == maxOwners {
@@ -106,22 +106,21 @@
 	return out
 }
 
-// changed tells whether the owner of a shard isn't the one that it was.
-func (o *owners) changed(k shardKey, owner string) bool {
+// recordOwner records the owner of a shard and reports whether it has changed.
+func (o *owners) recordOwner(k shardKey, owner string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.ownerOf[k] == owner {
+	if o.lastOwner[k] == owner {
 		return false
 	}
-	if o.ownerOf == nil {
-		o.ownerOf = map[shardKey]string{}
+	if o.lastOwner == nil {
+		o.lastOwner = map[shardKey]string{}
 	}
-	o.ownerOf[k] = owner
+	o.lastOwner[k] = owner
 	return true
 }
 
-// rank orders the instances that may own a shard. Those with more processor time come
-// first far more often.
+// rank orders the instances that may own a shard, weighted by processor time, see coresExponent.
 func rank(k shardKey, instances []Instance) []string {
 	type scored struct {
 		address string
@@ -129,7 +128,7 @@
 	}
 	var list []scored
 	for _, i := range instances {
-		if !i.MayOwn || (k.settled && !i.Settled) {
+		if !i.MayOwn || (k.settledOnly && !i.Settled) {
 			continue
 		}
 		draw := uniform(k.service + "\x00" + strconv.Itoa(k.index) + "\x00" + i.Address)
@@ -145,22 +144,22 @@
 	return out
 }
 
-// uniform maps a text to (0, 1).
+// uniform hashes a string to (0, 1).
 func uniform(text string) float64 {
 	const bits = 53 // of a float's fraction
 	return (float64(xxhash.Sum64String(text)>>(64-bits)) + 0.5) / (1 << bits)
 }
 
-// shardsOf is the number of shards of so many upstreams.
-func shardsOf(upstreams int) int { return max((upstreams+shardSize-1)/shardSize, 1) }
+// shardCount returns the number of shards for the given number of upstreams.
+func shardCount(upstreams int) int { return max((upstreams+shardSize-1)/shardSize, 1) }
 
-// shardFor returns the shard of an upstream, by rendezvous hashing: one shard more takes
-// its part of the others and moves nothing else.
+// shardFor returns the shard of an upstream, by rendezvous hashing: an additional shard takes its share
+// of the upstreams from the others and moves nothing else.
 func shardFor(id string, shards int) int {
-	drawn := xxhash.Sum64String(id)
+	hash := xxhash.Sum64String(id)
 	best, highest := 0, uint64(0)
 	for i := range shards {
-		if h := mix(drawn ^ mix(uint64(i)+1)); h > highest {
+		if h := mix(hash ^ mix(uint64(i)+1)); h > highest {
 			best, highest = i, h
 		}
 	}
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -16,60 +16,61 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// sized is a fleet of so many instances before so many upstreams, as one of its instances has it.
-type sized struct {
+// sizedFleet is one instance in a fleet of a given size, with a given number of upstreams.
+type sizedFleet struct {
 	fleet   *Fleet
 	list    []view.Upstream
 	version int64
 }
 
-func newSized(upstreams, others int) *sized {
-	s := &sized{version: 1}
+func newSizedFleet(upstreams, others int) *sizedFleet {
+	s := &sizedFleet{version: 1}
 	for i := range upstreams {
-		s.list = append(s.list, view.Upstream{ID: fmt.Sprintf("i-%06d", i), Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8, Born: 1_000_000 + int64(i)})
+		s.list = append(s.list, view.Upstream{ID: fmt.Sprintf("i-%06d", i), Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8, Incarnation: 1_000_000 + int64(i)})
 	}
 	log := telemetry.NewLogger(io.Discard, "error", "test")
 	s.fleet = New(Options{Instance: "10.0.0.0:1", Limits: queue.Limits{MaxItems: 9}, Quarantine: quarantine.New(log, nil), Metrics: telemetry.NewMetrics(), Log: log})
-	s.fleet.UseSlots(noSlots{})
-	s.fleet.ChangeUpstreams(view.ListChange{Version: 1, Changed: s.list})
+	s.fleet.SetSlotClient(noSlots{})
+	s.fleet.ApplyListChange(view.ListChange{Version: 1, Changed: s.list})
 	var all []Instance
 	for i := range others + 1 {
-		all = append(all, Instance{Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Cores: 0.2, InReach: true, MayOwn: true, Settled: true})
+		all = append(all, Instance{Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Cores: 0.2, Reachable: true, MayOwn: true, Settled: true})
 	}
 	s.fleet.SetInstances(all)
 	return s
 }
 
-// change lets one upstream leave, or stay after all.
-func (s *sized) change() {
+// changeOneUpstream marks one upstream as leaving, or as staying again.
+func (s *sizedFleet) changeOneUpstream() {
 	s.version++
 	u := &s.list[int(s.version)%len(s.list)]
 	u.Leaving = !u.Leaving
-	s.fleet.ChangeUpstreams(view.ListChange{Version: s.version, Changed: []view.Upstream{*u}})
+	s.fleet.ApplyListChange(view.ListChange{Version: s.version, Changed: []view.Upstream{*u}})
 }
 
-// hear takes a peer's word of upstreams that leave, which are gone from the list.
-func (s *sized) hear() {
-	s.fleet.LearnLeaving("p", []string{"i-gone@1", "i-gone@2", "i-gone@3"})
-	s.fleet.SetOthers("10.0.0.9:1", scheduler.Load{Running: map[string]int{s.list[0].ID: 1}})
+// receiveUpdates applies a heartbeat of a peer, with leaving notices of upstreams that are no longer
+// listed.
+func (s *sizedFleet) receiveUpdates() {
+	s.fleet.MergeLeavingNotices("p", []string{"i-removed@1", "i-removed@2", "i-removed@3"})
+	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{Running: map[string]int{s.list[0].ID: 1}})
 }
 
-// ask works out what is told to an owner with a request.
-func (s *sized) ask() { s.fleet.without() }
+// listExcluded lists the excluded upstreams, as for a slot request.
+func (s *sizedFleet) listExcluded() { s.fleet.excludedUpstreams() }
 
-// What an instance does at a change of one upstream, at a peer's heartbeat, for a request and every moment to
-// look after its upstreams doesn't grow with how many there are. Allocations stand for work here: whatever goes
-// through all upstreams allocates for each of them, or for each shard.
-func TestWorkDoesNotGrowWithTheUpstreams(t *testing.T) {
-	for name, work := range map[string]func(*sized){
-		"a change of one upstream": (*sized).change,
-		"a heartbeat":              (*sized).hear,
-		"a request":                (*sized).ask,
-		"closing connections":      func(s *sized) { s.fleet.CloseExpired(time.Now()) },
+// The work of an instance for a change of one upstream, a heartbeat, a request, and its periodic upkeep
+// must not grow with the number of upstreams. The test counts allocations: code that goes through all
+// upstreams allocates for each of them, or for each shard.
+func TestWorkIsIndependentOfNumberOfUpstreams(t *testing.T) {
+	for name, work := range map[string]func(*sizedFleet){
+		"a change of one upstream": (*sizedFleet).changeOneUpstream,
+		"a heartbeat":              (*sizedFleet).receiveUpdates,
+		"a request":                (*sizedFleet).listExcluded,
+		"closing connections":      func(s *sizedFleet) { s.fleet.CloseExpired(time.Now()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cost := func(upstreams int) float64 {
-				s := newSized(upstreams, 20)
+				s := newSizedFleet(upstreams, 20)
 				return testing.AllocsPerRun(100, func() { work(s) })
 			}
 			small, large := cost(300), cost(6_000)
@@ -79,22 +80,22 @@
 	}
 }
 
-// An upstream that stays keeps what was learned of it through changes of others, and new ones are used.
-func TestAChangeOfOneUpstreamLeavesOthersAlone(t *testing.T) {
+// Upstreams that stay keep their learned state through changes of others, and new ones are used.
+func TestListChangeLeavesOtherUpstreamsAlone(t *testing.T) {
 	is := is.New(t)
-	s := newSized(300, 0)
+	s := newSizedFleet(300, 0)
 	before := members(s.fleet)
 	is.Equal(len(before), 300)
-	s.change()
-	s.fleet.ChangeUpstreams(view.ListChange{Version: 9, Changed: []view.Upstream{{ID: "i-new", Service: "s", Address: "127.0.0.1:2", Slots: 8}}, Gone: []string{s.list[5].ID}})
+	s.changeOneUpstream()
+	s.fleet.ApplyListChange(view.ListChange{Version: 9, Changed: []view.Upstream{{ID: "i-new", Service: "s", Address: "127.0.0.1:2", Slots: 8}}, Removed: []string{s.list[5].ID}})
 	after := members(s.fleet)
 	is.Equal(len(after), 300)
 	is.True(!after[s.list[5].ID] && after["i-new"])
-	is.NoErr(s.fleet.MayBeSent("i-new"))
-	is.True(s.fleet.MayBeSent(s.list[5].ID) != nil)
+	is.NoErr(s.fleet.CheckUsable("i-new"))
+	is.True(s.fleet.CheckUsable(s.list[5].ID) != nil)
 }
 
-// members are the upstreams that the shards of a fleet have, by ID.
+// members returns the IDs of the upstreams in the shards of a fleet.
 func members(f *Fleet) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range f.all() {
@@ -107,18 +108,18 @@
 	return out
 }
 
-// However a list came to be, each upstream is in the shard that all instances work out for it.
-func TestUpstreamsAreAssignedAnewWhenTheNumberOfShardsChanges(t *testing.T) {
+// Whatever the history of the list, each upstream is in the shard that all instances compute for it.
+func TestUpstreamsAreReassignedWhenShardCountChanges(t *testing.T) {
 	is := is.New(t)
-	s := newSized(120, 0)
+	s := newSizedFleet(120, 0)
 	for i := range 200 {
 		u := view.Upstream{ID: fmt.Sprint("j-", i), Service: "s", Address: "127.0.0.1:1", Slots: 8}
-		s.fleet.ChangeUpstreams(view.ListChange{Version: int64(i + 2), Changed: []view.Upstream{u}})
+		s.fleet.ApplyListChange(view.ListChange{Version: int64(i + 2), Changed: []view.Upstream{u}})
 	}
 	for i := range 100 {
-		s.fleet.ChangeUpstreams(view.ListChange{Version: int64(i + 300), Gone: []string{fmt.Sprint("j-", i)}})
+		s.fleet.ApplyListChange(view.ListChange{Version: int64(i + 300), Removed: []string{fmt.Sprint("j-", i)}})
 	}
-	want := shardsOf(220)
+	want := shardCount(220)
 	shards := s.fleet.all()
 	is.Equal(len(shards), want)
 	seen := 0
@@ -134,17 +135,17 @@
 	is.Equal(seen, 220)
 }
 
-// Cold upstreams are added until there is one shard more, and taken away again within the same second. What an
-// upstream gets of the owner before, of the next one and of the first again is no more than a cold one bears:
-// the two own it one after the other, and neither knows what the other has granted.
-func TestAnUpstreamThatMovesToAnotherShardGetsNoMoreThanItBears(t *testing.T) {
+// Cold upstreams are added until there is one more shard, and removed again within the same second. The
+// two owners own an upstream one after the other, and neither knows what the other has granted; together,
+// the first one twice, they must not grant more than a cold upstream can serve.
+func TestColdStartLimitHoldsAcrossReshard(t *testing.T) {
 	is := is.New(t)
-	const most = coldBears*coldOverage + coldSlack
-	owner := func() *sized {
-		s := newSized(shardSize, 0)
-		s.fleet.slots = nil // it grants alone
+	const maxGrants = coldRate*coldOverage + coldSlack
+	owner := func() *sizedFleet {
+		s := newSizedFleet(shardSize, 0)
+		s.fleet.slots = nil // decide locally
 		s.fleet.o.ColdOverage, s.fleet.o.ColdSlack = coldOverage, coldSlack
-		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldLasts, ColdPerSecond: coldBears}})
+		s.fleet.SetServices(map[string]*routing.Service{"s": {Name: "s", ColdStart: coldDuration, ColdStartRate: coldRate}})
 		return s
 	}
 	first, second := owner(), owner()
@@ -153,8 +154,8 @@
 		for _, sh := range shards {
 			sh.pool.View(func(core *scheduler.Core) {
 				for _, u := range core.Upstreams() {
-					for now := time.Now(); u.MayStart(now); got[u.ID]++ {
-						u.NoteStart(now)
+					for now := time.Now(); u.AllowsGrant(now); got[u.ID]++ {
+						u.RecordGrant(now)
 					}
 				}
 			})
@@ -162,31 +163,31 @@
 	}
 	grantAll(first.fleet.all())
 	more := view.ListChange{Version: 2, Changed: []view.Upstream{{ID: "j-1", Service: "s", Address: "127.0.0.1:1", Slots: 8}}}
-	fewer := view.ListChange{Version: 3, Gone: []string{"j-1"}}
+	fewer := view.ListChange{Version: 3, Removed: []string{"j-1"}}
 	for _, change := range []view.ListChange{more, fewer} {
-		first.fleet.ChangeUpstreams(change)
-		second.fleet.ChangeUpstreams(change)
+		first.fleet.ApplyListChange(change)
+		second.fleet.ApplyListChange(change)
 		grantAll(first.fleet.all())
-		grantAll(second.fleet.all()[1:]) // its own, while there is one
+		grantAll(second.fleet.all()[1:]) // its own shard, while there is one
 	}
 	worst := 0
 	for _, u := range first.list {
 		worst = max(worst, got[u.ID])
 	}
-	is.True(worst > 0 && worst <= most)
+	is.True(worst > 0 && worst <= maxGrants)
 }
 
-// What others run at an upstream is counted wherever the upstream moves to.
-func TestWhatOthersRunIsCountedInTheShardOfToday(t *testing.T) {
+// The load that other instances report for an upstream follows it to another shard.
+func TestPeerLoadFollowsUpstreamToNewShard(t *testing.T) {
 	is := is.New(t)
-	s := newSized(shardSize, 0)
+	s := newSizedFleet(shardSize, 0)
 	busy := s.list[7].ID
-	s.fleet.SetOthers("10.0.0.9:1", scheduler.Load{Running: map[string]int{busy: 3}})
+	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{Running: map[string]int{busy: 3}})
 	running := func() (n int) {
 		for _, sh := range s.fleet.all() {
 			sh.pool.View(func(core *scheduler.Core) {
 				for _, u := range core.Upstreams() {
-					n += u.OthersRunning
+					n += u.RunningElsewhere
 				}
 			})
 		}
@@ -195,22 +196,22 @@
 	is.Equal(running(), 3)
 	for i := range 3 * shardSize { // more shards
 		u := view.Upstream{ID: fmt.Sprint("j-", i), Service: "s", Address: "127.0.0.1:1", Slots: 8}
-		s.fleet.ChangeUpstreams(view.ListChange{Version: int64(i + 2), Changed: []view.Upstream{u}})
+		s.fleet.ApplyListChange(view.ListChange{Version: int64(i + 2), Changed: []view.Upstream{u}})
 	}
 	is.Equal(running(), 3)
-	s.fleet.SetOthers("10.0.0.9:1", scheduler.Load{Running: map[string]int{busy: 1}})
+	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{Running: map[string]int{busy: 1}})
 	is.Equal(running(), 1)
-	s.fleet.SetOthers("10.0.0.9:1", scheduler.Load{})
+	s.fleet.SetPeerLoad("10.0.0.9:1", scheduler.Load{})
 	is.Equal(running(), 0)
 }
 
-// BenchmarkAChangeOfOneUpstream is what it costs to use a changed list.
-func BenchmarkAChangeOfOneUpstream(b *testing.B) {
+// BenchmarkChangeOfOneUpstream measures the cost of applying a changed list.
+func BenchmarkChangeOfOneUpstream(b *testing.B) {
 	for _, upstreams := range []int{300, 3_000, 30_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
-			s := newSized(upstreams, 583)
+			s := newSizedFleet(upstreams, 583)
 			for b.Loop() {
-				s.change()
+				s.changeOneUpstream()
 			}
 		})
 	}
--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -14,95 +14,97 @@
 	"github.com/tacktally/tacktally/internal/scheduler"
 )
 
-// Slots asks other instances for slots. *peer.Mesh implements it.
-type Slots interface {
-	AcquireSlot(ctx context.Context, address string, r *peer.SlotRequest, ackWithin time.Duration) (*peer.Slot, *peer.SlotRefusal, error)
-	// FleetSize is the number of instances as far as known; 0 while this one, which isn't
-	// alone, has heard of none.
+// SlotClient requests slots from other instances. *peer.Mesh implements it.
+type SlotClient interface {
+	AcquireSlot(ctx context.Context, address string, r *peer.SlotRequest, ackTimeout time.Duration) (*peer.Slot, *peer.SlotRefusal, error)
+	// FleetSize returns the number of known instances, or 0 if this instance has peers but knows none of
+	// them yet.
 	FleetSize() int
 }
 
-// UseSlots lets the fleet ask other instances. It is called once, before requests come.
-func (f *Fleet) UseSlots(s Slots) { f.slots = s }
+// SetSlotClient sets the client for slot requests to other instances. It is called once, before the first
+// request.
+func (f *Fleet) SetSlotClient(s SlotClient) { f.slots = s }
 
-// Want is a request for a slot.
-type Want struct {
-	ID      string // of the request, for logs
-	Key     quarantine.Key
-	Service string
-	Request *scheduler.Request
-	Parts   []prefix.Part // of its prompt, in order
-	Ask     peer.Ask
+// AcquireRequest is a request for a slot.
+type AcquireRequest struct {
+	ID       string // of the request, for logs
+	Key      quarantine.Key
+	Service  string
+	Request  *scheduler.Request
+	Segments []prefix.Segment // of the prompt, in order
+	Attempt  peer.AttemptKind
 }
 
 // Acquire blocks until the request gets a slot, is refused, or ctx ends.
-func (f *Fleet) Acquire(ctx context.Context, w *Want) (Lease, *api.Problem) {
-	w.Request.Without = f.without()
-	shard, owners := f.shardAndOwners(w)
-	repeats := f.Repeats(w.Service)
+func (f *Fleet) Acquire(ctx context.Context, req *AcquireRequest) (Grant, *api.Problem) {
+	req.Request.ExcludedUpstreams = f.excludedUpstreams()
+	shard, owners := f.shardAndOwners(req)
+	retryBudget := f.RetryBudget(req.Service)
 	for _, owner := range owners {
 		if owner == f.o.Instance {
-			repeats = shard.repeats
+			retryBudget = shard.retryBudget
 			break
 		}
-		l, problem, err := f.ask(ctx, owner, shard, w)
+		g, problem, err := f.requestSlot(ctx, owner, shard, req)
 		switch {
 		case err == nil:
-			return l, problem
+			return g, problem
 		case ctx.Err() != nil:
-			return nil, pool.EndedWaiting(ctx)
+			return nil, pool.WaitEndedProblem(ctx)
 		}
-		f.distrust(owner, w.ID, err)
+		f.markUnresponsive(owner, req.ID, err)
 	}
 	if len(owners) == 0 {
-		repeats = shard.repeats // there is nobody else
+		retryBudget = shard.retryBudget // no other instance may own the shard
 	}
-	if problem := charge(repeats, w.Ask); problem != nil {
+	if problem := charge(retryBudget, req.Attempt); problem != nil {
 		return nil, problem
 	}
-	w.Request.Chain = prefix.ChainOf(w.Parts)
-	w.Request.Zone = f.o.Zone
-	w.Request.Region = f.o.Regions[f.o.Zone]
-	grant, problem := shard.pool.Acquire(ctx, w.Request)
+	req.Request.PrefixHashes = prefix.SegmentHashes(req.Segments)
+	req.Request.Zone = f.o.Zone
+	req.Request.Region = f.o.Regions[f.o.Zone]
+	grant, problem := shard.pool.Acquire(ctx, req.Request)
 	if problem != nil {
-		f.noteShort(w.Service)
-		refund(repeats, w.Ask)
+		f.spreadRequests(req.Service)
+		refund(retryBudget, req.Attempt)
 		return nil, problem
 	}
-	return &ownLease{shard: shard, grant: grant, listVersion: f.listVersion()}, nil
+	return &localGrant{shard: shard, grant: grant, listVersion: f.listVersion()}, nil
 }
 
-// charge takes what an attempt costs of a budget of repeats, or adds what it earns.
-func charge(repeats *retrybudget.Budget, ask peer.Ask) *api.Problem {
+// charge withdraws a retry from the budget, or deposits a first attempt.
+func charge(retryBudget *retrybudget.Budget, attempt peer.AttemptKind) *api.Problem {
 	switch {
-	case ask == peer.AskFirst:
-		repeats.Deposit()
-	case ask == peer.AskRepeat && !repeats.Withdraw():
-		return api.Refuse(api.ReasonRetryBudget, "as many requests are sent again to the service as may be; come back after the time given").WithRetryAfter(ComeBackSoon)
+	case attempt == peer.FirstAttempt:
+		retryBudget.Deposit()
+	case attempt == peer.RetryAttempt && !retryBudget.Withdraw():
+		return api.Refuse(api.ReasonRetryBudget, "the retry budget of the service is exhausted; retry after the given time").WithRetryAfter(ShortRetryAfter)
 	}
 	return nil
 }
 
-// refund gives back what was paid for an attempt that isn't made.
-func refund(repeats *retrybudget.Budget, ask peer.Ask) {
-	if ask == peer.AskRepeat {
-		repeats.Return()
+// refund returns the withdrawal for an attempt that isn't made.
+func refund(retryBudget *retrybudget.Budget, attempt peer.AttemptKind) {
+	if attempt == peer.RetryAttempt {
+		retryBudget.Return()
 	}
 }
 
-// shardAndOwners returns a shard and who schedules it; no owner means this instance.
-func (f *Fleet) shardAndOwners(w *Want) (*shard, []string) {
+// shardAndOwners returns a shard and the instances to request a slot from, in order; none means that this
+// instance decides.
+func (f *Fleet) shardAndOwners(req *AcquireRequest) (*shard, []string) {
 	f.mu.Lock()
-	shard := f.serviceOf(w.Service).drawShard(time.Now())
+	shard := f.serviceOf(req.Service).selectShard(time.Now())
 	f.mu.Unlock()
 	if f.slots == nil {
 		return shard, nil
 	}
-	return shard, f.ownersOf(shardKey{service: w.Service, index: shard.index})
+	return shard, f.ownersOf(shardKey{service: req.Service, index: shard.index})
 }
 
-// ownersOf returns the instances to ask for what is in a shard, in order; none means this
-// one.
+// ownersOf returns the instances that may own a shard or group, in the order in which to send requests to
+// them; none means this instance.
 func (f *Fleet) ownersOf(k shardKey) []string {
 	f.mu.Lock()
 	instances := f.instances
@@ -110,101 +112,101 @@
 	if len(instances) == 1 {
 		return nil
 	}
-	owners := f.owners.of(k, instances, time.Now())
-	if len(owners) > 0 && f.owners.changed(k, owners[0]) {
+	owners := f.owners.candidates(k, instances, time.Now())
+	if len(owners) > 0 && f.owners.recordOwner(k, owners[0]) {
 		f.o.Log.Info().Str("event", "shard_owner").Str("service", k.service).Int("shard", k.index).
 			Str("owner", owners[0]).Int("instances", len(instances)).Msg("")
 	}
 	return owners
 }
 
-// distrust notes that an owner couldn't be asked.
-func (f *Fleet) distrust(owner, id string, err error) {
+// markUnresponsive records that an owner didn't decide on a request, and logs the cause.
+func (f *Fleet) markUnresponsive(owner, id string, err error) {
 	f.o.Metrics.Count("tacktally_slot_requests_undecided_total")
 	f.o.Log.Warn().Str("event", "owner_silent").Str("request", id).Str("owner", owner).Str("cause", err.Error()).Msg("")
-	f.owners.distrust(owner, time.Now())
+	f.owners.markUnresponsive(owner, time.Now())
 }
 
-// ask asks the owner of a shard for a slot. The error says that it didn't decide.
-func (f *Fleet) ask(ctx context.Context, owner string, s *shard, w *Want) (Lease, *api.Problem, error) {
-	slot, refusal, err := f.slots.AcquireSlot(ctx, owner, f.slotRequest(time.Now(), s, w), ackWithin)
+// requestSlot requests a slot from the owner of a shard. An error means that the owner didn't decide.
+func (f *Fleet) requestSlot(ctx context.Context, owner string, s *shard, req *AcquireRequest) (Grant, *api.Problem, error) {
+	slot, refusal, err := f.slots.AcquireSlot(ctx, owner, f.slotRequest(time.Now(), s, req), ackTimeout)
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case refusal != nil && api.Reason(refusal.Reason) == api.ReasonRetryBudget:
 		return nil, problemOf(refusal), nil
 	case refusal != nil:
-		f.noteShort(w.Service)
+		f.spreadRequests(req.Service)
 		return nil, problemOf(refusal), nil
 	case slot.Queued:
-		f.noteShort(w.Service)
+		f.spreadRequests(req.Service)
 	}
-	s.pool.Adopt(slot.Grant.Upstream, ratesOf(slot.Grant))
-	l := &peerLease{owner: owner, grant: slot.Grant, slot: slot, all: &f.leases}
-	f.leases.add(l)
-	return l, nil, nil
+	s.pool.AdoptRates(slot.Grant.Upstream, ratesOf(slot.Grant))
+	g := &peerGrant{owner: owner, slotGrant: slot.Grant, slot: slot, tracked: &f.peerGrants}
+	f.peerGrants.add(g)
+	return g, nil, nil
 }
 
-// ratesOf is what a grant tells of its upstream's speed.
+// ratesOf returns the speed of an upstream that a grant reports.
 func ratesOf(g peer.SlotGrant) estimate.Rates {
-	return estimate.Rates{Prefill: float64(g.Prefill), Interval: time.Duration(g.Interval) * time.Microsecond}
+	return estimate.Rates{Prefill: float64(g.PrefillRate), Interval: time.Duration(g.IntervalMicros) * time.Microsecond}
 }
 
-func (f *Fleet) slotRequest(now time.Time, s *shard, w *Want) *peer.SlotRequest {
-	r := w.Request
+func (f *Fleet) slotRequest(now time.Time, s *shard, req *AcquireRequest) *peer.SlotRequest {
+	r := req.Request
 	out := &peer.SlotRequest{
-		Service:      s.service,
-		Shard:        s.index,
-		ID:           w.ID,
-		Digest:       w.Key.Digest,
-		Rank:         r.Rank,
-		Organisation: r.Organisation,
-		Age:          now.Sub(r.Arrived),
-		Timeout:      r.Deadline.Sub(now),
-		Patience:     r.Patience,
-		Aim:          r.Aim,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Expected:     r.Expected,
-		Bytes:        r.Bytes,
-		Exclude:      r.Exclude,
-		Without:      r.Without,
-		Ask:          w.Ask,
-		Limits:       f.limitsToTell(s.service),
-		Zone:         f.o.Zone,
-		Bound:        r.Homes.Bound,
-		Regions:      r.Homes.Regions,
+		Service:          s.service,
+		Shard:            s.index,
+		ID:               req.ID,
+		Digest:           req.Key.Digest,
+		Rank:             r.Rank,
+		Organisation:     r.Organisation,
+		Age:              now.Sub(r.Arrived),
+		Timeout:          r.Deadline.Sub(now),
+		MaxWait:          r.MaxWait,
+		LatencyObjective: r.LatencyObjective,
+		PromptTokens:     r.PromptTokens,
+		MaxOutput:        r.MaxOutput,
+		ExpectedOutput:   r.ExpectedOutput,
+		Bytes:            r.Bytes,
+		Exclude:          r.FailedUpstream,
+		Unavailable:      r.ExcludedUpstreams,
+		Attempt:          req.Attempt,
+		Limits:           f.limitsForOwner(s.service),
+		Zone:             f.o.Zone,
+		Restricted:       r.RegionConstraint.Bound,
+		Regions:          r.RegionConstraint.Regions,
 	}
-	for _, p := range w.Parts {
-		out.Parts = append(out.Parts, peer.PromptPart{Sum: p.Sum, Tokens: p.Tokens})
+	for _, p := range req.Segments {
+		out.Segments = append(out.Segments, peer.PromptSegment{PrefixHash: p.Hash, Tokens: p.Tokens})
 	}
 	return out
 }
 
-// requestOf turns a peer's request into the scheduler's.
-func requestOf(now time.Time, r *peer.SlotRequest) *scheduler.Request {
-	var parts []prefix.Part
-	for _, p := range r.Parts {
-		parts = append(parts, prefix.Part{Sum: p.Sum, Tokens: p.Tokens})
+// schedulerRequest converts a slot request of a peer to one of the scheduler.
+func schedulerRequest(now time.Time, r *peer.SlotRequest) *scheduler.Request {
+	var segments []prefix.Segment
+	for _, p := range r.Segments {
+		segments = append(segments, prefix.Segment{Hash: p.PrefixHash, Tokens: p.Tokens})
 	}
 	return &scheduler.Request{
-		Rank:         r.Rank,
-		Organisation: r.Organisation,
-		Share:        1,
-		Arrived:      now.Add(-r.Age),
-		Deadline:     now.Add(r.Timeout),
-		Patience:     r.Patience,
-		Aim:          r.Aim,
-		LateIsWorth:  true,
-		Prompt:       r.Prompt,
-		Output:       r.Output,
-		Expected:     r.Expected,
-		Chain:        prefix.ChainOf(parts),
-		Bytes:        r.Bytes,
-		Exclude:      r.Exclude,
-		Without:      r.Without,
-		Zone:         r.Zone,
-		Homes:        scheduler.Homes{Bound: r.Bound, Regions: r.Regions},
+		Rank:              r.Rank,
+		Organisation:      r.Organisation,
+		Share:             1,
+		Arrived:           now.Add(-r.Age),
+		Deadline:          now.Add(r.Timeout),
+		MaxWait:           r.MaxWait,
+		LatencyObjective:  r.LatencyObjective,
+		AllowLate:         true,
+		PromptTokens:      r.PromptTokens,
+		MaxOutput:         r.MaxOutput,
+		ExpectedOutput:    r.ExpectedOutput,
+		PrefixHashes:      prefix.SegmentHashes(segments),
+		Bytes:             r.Bytes,
+		FailedUpstream:    r.Exclude,
+		ExcludedUpstreams: r.Unavailable,
+		Zone:              r.Zone,
+		RegionConstraint:  scheduler.RegionConstraint{Bound: r.Restricted, Regions: r.Regions},
 	}
 }
 
@@ -212,52 +214,53 @@
 	return api.Refuse(api.Reason(r.Reason), "%s", r.Detail).WithRetryAfter(r.RetryAfter)
 }
 
-// ServeSlot decides on a slot that a peer asks for, as the peer's own scheduler would,
-// and blocks until it is given back or ctx ends. Whoever is asked decides: only the one
-// that asks has to believe that this instance owns the shard.
+// ServeSlot decides on a slot that a peer requests, as the peer's own scheduler would, and blocks until
+// the slot is released or ctx ends. It doesn't check whether this instance owns the shard: only the
+// requester has to believe so.
 func (f *Fleet) ServeSlot(ctx context.Context, r *peer.SlotRequest, s *peer.SlotStream) {
-	if left := f.o.Quarantine.Held(time.Now(), quarantine.Key{Organisation: r.Organisation, Digest: r.Digest}); left > 0 {
-		p := quarantine.Refusal(left) // the peer hasn't heard of it yet
-		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
+	if left := f.o.Quarantine.Remaining(time.Now(), quarantine.Key{Organisation: r.Organisation, Digest: r.Digest}); left > 0 {
+		p := quarantine.Refusal(left) // the peer has not received the quarantine record yet
+		err := s.SendRefusal(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
-	f.LearnLimits(s.Peer, r.Limits)
+	f.MergeLimits(s.Peer, r.Limits)
 	shard := f.shardAt(r.Service, r.Shard)
-	if p := charge(shard.repeats, r.Ask); p != nil {
-		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
+	if p := charge(shard.retryBudget, r.Attempt); p != nil {
+		err := s.SendRefusal(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
-	request := requestOf(time.Now(), r)
+	request := schedulerRequest(time.Now(), r)
 	request.Region = f.o.Regions[r.Zone]
 	waiting := shard.pool.Submit(request)
-	turn, decided := waiting.Decided()
+	decision, decided := waiting.TryWait()
 	if !decided {
-		s.Queued()
-		turn = waiting.Wait(ctx)
+		s.SendQueued()
+		decision = waiting.Wait(ctx)
 	}
-	if turn.Problem != nil {
-		refund(shard.repeats, r.Ask)
-		p := turn.Problem
-		err := s.Refused(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
+	if decision.Problem != nil {
+		refund(shard.retryBudget, r.Attempt)
+		p := decision.Problem
+		err := s.SendRefusal(ctx, peer.SlotRefusal{Reason: string(p.Reason), Detail: p.Detail, RetryAfter: p.RetryAfter})
 		f.logSlot(r, s.Peer, "refused", string(p.Reason), err)
 		return
 	}
-	ending, output := f.serveGrant(ctx, shard, r, s, turn.Grant)
-	shard.pool.End(turn.Grant, ending, output)
+	result, output := f.serveGrant(ctx, shard, r, s, decision.Grant)
+	shard.pool.End(decision.Grant, result, output)
 }
 
-// serveGrant tells the peer its slot and returns how the request ended.
-func (f *Fleet) serveGrant(ctx context.Context, sh *shard, r *peer.SlotRequest, s *peer.SlotStream, g *scheduler.Grant) (scheduler.Ending, int) {
-	err := s.Granted(ctx, peer.SlotGrant{
-		Upstream:    g.Upstream.ID,
-		Predicted:   g.Predicted(),
-		Running:     g.Running,
-		Limited:     g.Limited,
-		ListVersion: f.listVersion(),
-		Prefill:     int(g.Rates.Prefill),
-		Interval:    int(g.Rates.Interval.Microseconds()),
+// serveGrant sends the grant to the peer, waits for the release of the slot, and returns how the request
+// ended.
+func (f *Fleet) serveGrant(ctx context.Context, sh *shard, r *peer.SlotRequest, s *peer.SlotStream, g *scheduler.Grant) (scheduler.Result, int) {
+	err := s.SendGrant(ctx, peer.SlotGrant{
+		Upstream:            g.Upstream.ID,
+		PredictedFirstToken: g.PredictedFirstToken(),
+		Running:             g.Running,
+		Limited:             g.Limited,
+		ListVersion:         f.listVersion(),
+		PrefillRate:         int(g.Rates.Prefill),
+		IntervalMicros:      int(g.Rates.Interval.Microseconds()),
 	})
 	f.logSlot(r, s.Peer, "granted", g.Upstream.ID, err)
 	for err == nil {
@@ -266,26 +269,26 @@
 		switch {
 		case err != nil:
 		case release == nil:
-			sh.pool.FirstToken(g)
-		case scheduler.Ending(release.Ending).IsKnown():
-			return scheduler.Ending(release.Ending), release.Output
+			sh.pool.RecordFirstToken(g)
+		case scheduler.Result(release.Result).IsKnown():
+			return scheduler.Result(release.Result), release.Output
 		default:
-			return scheduler.Cancelled, 0 // a peer of a newer version
+			return scheduler.Cancelled, 0 // sent by a peer of a newer version
 		}
 	}
 	return scheduler.Cancelled, 0
 }
 
-func (f *Fleet) logSlot(r *peer.SlotRequest, asking, decision, why string, err error) {
-	line := f.o.Log.Debug().Str("event", "slot").Str("request", r.ID).Str("peer", asking).Str("decision", decision).Str("why", why)
+func (f *Fleet) logSlot(r *peer.SlotRequest, requester, decision, why string, err error) {
+	line := f.o.Log.Debug().Str("event", "slot").Str("request", r.ID).Str("peer", requester).Str("decision", decision).Str("why", why)
 	if err != nil {
 		line = line.Str("cause", err.Error())
 	}
 	line.Msg("")
 }
 
-// shardAt returns a shard of a service. Where the peer sees more shards than there are
-// here, its list is another one, and any shard will do.
+// shardAt returns a shard of a service. If the peer has more shards than this instance, its list is a
+// different one, and any shard may be used.
 func (f *Fleet) shardAt(service string, index int) *shard {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -10,47 +10,47 @@
 	"github.com/tacktally/tacktally/internal/view"
 )
 
-// upstream is one that is on the list, as this instance uses it.
+// upstream is an upstream on the list, as this instance uses it.
 type upstream struct {
 	view.Upstream
-	listed   time.Time // when the list said so, from which on it is cold for so long
-	unusable error     // why it gets nothing new; nil where it may
+	listed   time.Time // when this entry was applied; Cold counts from then
+	unusable error     // why it gets no new requests; nil if it does
 	shard    *shard
 }
 
-// process names the process that it has.
-func (u *upstream) process() string { return processName(u.ID, u.Born) }
+// process returns the name of its current process.
+func (u *upstream) process() string { return processName(u.ID, u.Incarnation) }
 
-// keepCold makes it count as cold for so long at least.
-func (u *upstream) keepCold(now time.Time, least time.Duration) {
-	u.Cold = max(u.listed.Add(u.Cold).Sub(now), least)
+// extendCold makes the upstream count as cold for at least the given duration.
+func (u *upstream) extendCold(now time.Time, atLeast time.Duration) {
+	u.Cold = max(u.listed.Add(u.Cold).Sub(now), atLeast)
 	u.listed = now
 }
 
-// member is what its scheduler is to know of it.
+// member returns the upstream in the form of the scheduler.
 func (f *Fleet) member(u *upstream) scheduler.Member {
 	return scheduler.Member{
-		ID:        u.ID,
-		Address:   u.Address,
-		Zone:      u.Zone,
-		Region:    f.o.Regions[u.Zone],
-		Slots:     u.Slots,
-		Leaving:   u.unusable != nil,
-		Born:      u.Born,
-		ColdUntil: u.listed.Add(u.Cold),
-		Limit:     f.limitOf(u.process()),
+		ID:              u.ID,
+		Address:         u.Address,
+		Zone:            u.Zone,
+		Region:          f.o.Regions[u.Zone],
+		Slots:           u.Slots,
+		Leaving:         u.unusable != nil,
+		Incarnation:     u.Incarnation,
+		ColdUntil:       u.listed.Add(u.Cold),
+		AdvertisedLimit: f.advertisedLimit(u.process()),
 	}
 }
 
-// updates collects what shards are to be told of their upstreams.
-type updates map[*shard]*memberChanges
+// memberUpdates collects the changes of upstreams, by shard.
+type memberUpdates map[*shard]*memberChanges
 
 type memberChanges struct {
 	changed []scheduler.Member
-	gone    []string
+	removed []string
 }
 
-func (p updates) forShard(s *shard) *memberChanges {
+func (p memberUpdates) forShard(s *shard) *memberChanges {
 	c := p[s]
 	if c == nil {
 		c = &memberChanges{}
@@ -59,54 +59,54 @@
 	return c
 }
 
-// apply tells the shards, and returns them.
-func (p updates) apply() []*shard {
+// apply applies the changes to the shards, and returns these.
+func (p memberUpdates) apply() []*shard {
 	for s, c := range p {
-		s.pool.ChangeMembers(c.changed, c.gone)
+		s.pool.UpdateMembers(c.changed, c.removed)
 	}
 	return slices.Collect(maps.Keys(p))
 }
 
-// ChangeUpstreams takes what has changed of the list, and sends what that gives room for. Its cost
-// grows with the change, not with the list, unless the number of a service's shards changes.
-func (f *Fleet) ChangeUpstreams(change view.ListChange) {
+// ApplyListChange applies a change of the list, and grants slots to waiting requests that fit now. Its
+// cost grows with the change, not with the list, unless the number of a service's shards changes.
+func (f *Fleet) ApplyListChange(change view.ListChange) {
 	f.mu.Lock()
 	f.version = change.Version
 	now := time.Now()
-	updated := updates{}
-	for _, id := range change.Gone {
+	updated := memberUpdates{}
+	for _, id := range change.Removed {
 		f.removeUpstream(id, updated)
 	}
 	for _, u := range change.Changed {
 		f.putUpstream(now, u, updated)
 	}
-	f.forgetWords(now)
+	f.pruneProcessState(now)
 	changed := updated.apply()
 	resharded := f.reshardAll()
 	f.mu.Unlock()
 	if resharded {
-		f.reapplyOthers()
-		f.limitStarts()
+		f.reapplyPeerLoads()
+		f.updateGrantLimits()
 		return
 	}
-	poll(changed)
+	pollShards(changed)
 }
 
-// removeUpstream drops all that is kept of an upstream. The caller holds the lock.
-func (f *Fleet) removeUpstream(id string, updated updates) {
+// removeUpstream removes an upstream and its state. The caller holds the lock.
+func (f *Fleet) removeUpstream(id string, updated memberUpdates) {
 	u := f.upstreams[id]
 	if u == nil {
 		return
 	}
-	f.forgetProcess(u)
+	f.dropProcess(u)
 	delete(f.upstreams, id)
 	f.services[u.Service].upstreams--
 	c := updated.forShard(u.shard)
-	c.gone = append(c.gone, id)
+	c.removed = append(c.removed, id)
 }
 
-// putUpstream takes an upstream that is new on the list, or has changed. The caller holds the lock.
-func (f *Fleet) putUpstream(now time.Time, listed view.Upstream, updated updates) {
+// putUpstream adds an upstream, or replaces a changed one. The caller holds the lock.
+func (f *Fleet) putUpstream(now time.Time, listed view.Upstream, updated memberUpdates) {
 	known := f.upstreams[listed.ID]
 	if known != nil && known.Service != listed.Service {
 		f.removeUpstream(listed.ID, updated)
@@ -120,28 +120,28 @@
 		u.shard = s.shards[shardFor(u.ID, len(s.shards))]
 	case known.process() != u.process() || known.Address != u.Address:
 		u.shard = known.shard
-		f.forgetProcess(known)
+		f.dropProcess(known)
 	default:
 		u.shard = known.shard
 	}
-	f.rests.Keep(u.ID, u.process())
+	f.backoffs.DropStale(u.ID, u.process())
 	f.upstreams[u.ID] = u
 	f.processes[u.process()] = u
-	f.refresh(u, updated)
+	f.refreshUsability(u, updated)
 }
 
-// forgetProcess drops what is kept of the process that an upstream had: its connections are of no use. The caller holds
-// the lock.
-func (f *Fleet) forgetProcess(u *upstream) {
+// dropProcess drops the state of the previous process of an upstream; its connections are useless. The
+// caller holds the lock.
+func (f *Fleet) dropProcess(u *upstream) {
 	f.closeConnections(u.ID)
 	delete(f.processes, u.process())
 }
 
-// reshardAll assigns upstreams to shards anew where a service has got too many or too few shards for them, and tells
-// whether one has. The caller holds the lock.
+// reshardAll reassigns the upstreams of services whose number of shards no longer fits, and reports
+// whether there was one. The caller holds the lock.
 func (f *Fleet) reshardAll() (resharded bool) {
 	for _, s := range f.services {
-		if want := shardsOf(s.upstreams); want != len(s.shards) {
+		if want := shardCount(s.upstreams); want != len(s.shards) {
 			f.reshard(s, want)
 			resharded = true
 		}
@@ -149,17 +149,17 @@
 	return resharded
 }
 
-// reshard assigns the upstreams of a service to so many shards. The caller holds the lock.
+// reshard assigns the upstreams of a service to the given number of shards. The caller holds the lock.
 func (f *Fleet) reshard(s *service, want int) {
 	kept := min(want, len(s.shards))
 	shards := slices.Clone(s.shards[:kept])
 	for len(shards) < want {
 		shards = append(shards, f.newShard(s.name, len(shards)))
 	}
-	before, dropped := known(s.shards), s.shards[kept:]
+	previous, dropped := copyUpstreams(s.shards), s.shards[kept:]
 	s.shards = shards
-	s.homes = homesOf(f.o.Instance, s.name, want)
-	f.shareRepeats(s)
+	s.preferredShards = preferredShardsOf(f.o.Instance, s.name, want)
+	f.updateRetryBudgets(s)
 	members := make([][]scheduler.Member, want)
 	now := time.Now()
 	for _, u := range f.upstreams {
@@ -169,35 +169,35 @@
 		i := shardFor(u.ID, want)
 		m := f.member(u)
 		if u.shard != shards[i] {
-			m.MovedAt, m.Before = now, before[u.ID]
+			m.MovedAt, m.Previous = now, previous[u.ID]
 		}
 		u.shard = shards[i]
 		members[i] = append(members[i], m)
 	}
-	for _, gone := range dropped {
-		gone.pool.SetMembers(nil) // what waits there is given up in its time
+	for _, sh := range dropped {
+		sh.pool.SetMembers(nil) // waiting requests there end with their maximum wait
 	}
 	for i, sh := range shards {
 		sh.pool.SetMembers(members[i])
 	}
 }
 
-// known returns copies of what the shards know of their upstreams, by ID.
-func known(shards []*shard) map[string]*balancer.Upstream {
+// copyUpstreams returns copies of the scheduling state of the shards' upstreams, by ID.
+func copyUpstreams(shards []*shard) map[string]*balancer.Upstream {
 	out := map[string]*balancer.Upstream{}
 	for _, s := range shards {
 		s.pool.View(func(core *scheduler.Core) {
 			for _, u := range core.Upstreams() {
-				out[u.ID] = u.Copy()
+				out[u.ID] = u.CopyState()
 			}
 		})
 	}
 	return out
 }
 
-// refresh finds out anew whether an upstream may be used. The caller holds the lock.
-func (f *Fleet) refresh(u *upstream, updated updates) {
-	u.unusable = f.whyUnusable(u.Upstream)
+// refreshUsability updates whether an upstream is usable. The caller holds the lock.
+func (f *Fleet) refreshUsability(u *upstream, updated memberUpdates) {
+	u.unusable = f.unusableReason(u.Upstream)
 	c := updated.forShard(u.shard)
 	c.changed = append(c.changed, f.member(u))
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -11,18 +11,18 @@
 	Address string
 	// Zone is its availability zone.
 	Zone string
-	// Incarnation names its process.
+	// Incarnation identifies its process.
 	Incarnation uint64
-	// Cores is the processor time that it has, in cores; 0 is unknown.
+	// Cores is the processor time available to it, in cores; 0 is unknown.
 	Cores float64
 	// Started is when its process started, by this instance's clock.
 	Started time.Time
-	// Draining instances take no new work.
+	// Draining instances accept no new requests.
 	Draining bool
 }
 
-// News is what one instance tells another of a member.
-type News struct {
+// Record is what one instance sends another about a member.
+type Record struct {
 	Address     string  `cbor:"1,keyasint"`
 	Zone        string  `cbor:"2,keyasint,omitempty"`
 	Incarnation uint64  `cbor:"3,keyasint,omitempty"`
@@ -30,87 +30,88 @@
 	// Age is the time since its process started.
 	Age      time.Duration `cbor:"5,keyasint,omitempty"`
 	Draining bool          `cbor:"6,keyasint,omitempty"`
-	// Gone takes back what was told of it before.
-	Gone bool `cbor:"7,keyasint,omitempty"`
+	// Removed withdraws the previous record of the address.
+	Removed bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Kind of a telling says what the teller knows its members by, which decides whether the
-// listener may pass it on.
+// Kind is the kind of an update: how its sender knows the members in it, which decides whether the
+// receiver may pass them on.
 type Kind uint8
 
 // The kinds.
 const (
-	// Nothing takes back what was told before.
-	Nothing Kind = iota
-	// Linked members are linked to the teller, a hub. Other hubs pass them on.
-	Linked
-	// Reached members are linked to the teller or to a hub that has told it. They aren't
-	// passed on: what goes in circles could never be taken back.
-	Reached
-	// Introduced members are those that somebody vouches for to the teller. An instance that
-	// starts finds the hubs among them.
-	Introduced
+	// None withdraws all that was sent before.
+	None Kind = iota
+	// Direct members are linked to the sender, a hub. Other hubs pass them on.
+	Direct
+	// Indirect members are linked to the sender or to a hub that has sent it updates. They aren't
+	// passed on: records that circulate could never be withdrawn.
+	Indirect
+	// Bootstrap members are those that the sender knows to be attested. An instance that starts finds
+	// the hubs among them.
+	Bootstrap
 )
 
-// Telling is what one instance tells another at a time. A Full one replaces all before it.
-type Telling struct {
-	Kind Kind   `cbor:"1,keyasint"`
-	Full bool   `cbor:"2,keyasint,omitempty"`
-	News []News `cbor:"3,keyasint,omitempty"`
+// Update is one message about members from one instance to another. A Full one replaces all updates
+// before it.
+type Update struct {
+	Kind    Kind     `cbor:"1,keyasint"`
+	Full    bool     `cbor:"2,keyasint,omitempty"`
+	Records []Record `cbor:"3,keyasint,omitempty"`
 }
 
-// endedKept is how many former incarnations of an address are remembered: news of them may
-// be under way for as long as a process stands still.
-const endedKept = 4
+// maxPastIncarnations is how many previous incarnations of an address are remembered: records of them
+// may be delayed for as long as a process stands still.
+const maxPastIncarnations = 4
 
 // entry is what a table knows of one member.
 type entry struct {
 	Member
-	ended []uint64 // incarnations that were there before
-	// linked tells whether a link to it is up, reached and alive whether it is vouched for as
-	// Reached tells and by anybody.
-	linked, reached, alive bool
-	vouched                bool      // anybody has vouched for its process before
-	introduced             time.Time // when it was introduced last
-	lastAlive              time.Time
-	failed                 time.Time // when a link to it ended or couldn't be made
+	pastIncarnations []uint64
+	// linked: a link to it is up. hubLinked: it is linked to this instance, or to a hub that attests
+	// it in a Direct update. alive: this instance or any peer attests it.
+	linked, hubLinked, alive bool
+	everAlive                bool      // its process has been attested before
+	bootstrappedAt           time.Time // when a Bootstrap update last contained it
+	lastAliveAt              time.Time
+	linkFailedAt             time.Time // when a link to it last ended or couldn't be made
 
-	told    weighed // what is told to others
-	changed uint64  // the table's change at which that changed last
+	published publishedState // what updates to peers contain
+	changedAt uint64         // the table's change count when published last changed
 }
 
-// weighed is what of a member is told to others.
-type weighed struct {
+// publishedState is the state of a member that updates to peers depend on.
+type publishedState struct {
 	Member
-	linked, reached, alive bool
+	linked, hubLinked, alive bool
 }
 
-// adopt takes what is told of the member, and tells whether it is news of its process of
-// today. A link to a process is proof of it; a telling may be older than what is known.
-func (e *entry) adopt(m Member, proof bool) bool {
+// update merges received data about the member. It reports whether the data concerns the member's
+// current process. A link to a process is proof of it; an update may be older than what is known.
+func (e *entry) update(m Member, proof bool) bool {
 	switch {
 	case m.Incarnation == e.Incarnation:
-	case proof, !slices.Contains(e.ended, m.Incarnation) && m.Started.After(e.Started):
-		e.ended = append(e.ended, e.Incarnation)
-		e.ended = e.ended[max(len(e.ended)-endedKept, 0):]
-		e.linked, e.vouched = false, false
+	case proof, !slices.Contains(e.pastIncarnations, m.Incarnation) && m.Started.After(e.Started):
+		e.pastIncarnations = append(e.pastIncarnations, e.Incarnation)
+		e.pastIncarnations = e.pastIncarnations[max(len(e.pastIncarnations)-maxPastIncarnations, 0):]
+		e.linked, e.everAlive = false, false
 	default:
 		return false
 	}
 	if m.Incarnation == e.Incarnation && !e.Started.IsZero() {
-		m.Started = e.Started // the first word is the least delayed
+		m.Started = e.Started // the first record is the least delayed
 	}
 	e.Member = m
 	return true
 }
 
-func (e *entry) news(now time.Time, gone bool) News {
-	if gone {
-		return News{Address: e.Address, Gone: true}
+func (e *entry) record(now time.Time, removed bool) Record {
+	if removed {
+		return Record{Address: e.Address, Removed: true}
 	}
-	return News{Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation, Cores: e.Cores, Age: now.Sub(e.Started), Draining: e.Draining}
+	return Record{Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation, Cores: e.Cores, Age: now.Sub(e.Started), Draining: e.Draining}
 }
 
-func (n *News) member(now time.Time) Member {
-	return Member{Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Cores: n.Cores, Started: now.Add(-n.Age), Draining: n.Draining}
+func (r *Record) member(now time.Time) Member {
+	return Member{Address: r.Address, Zone: r.Zone, Incarnation: r.Incarnation, Cores: r.Cores, Started: now.Add(-r.Age), Draining: r.Draining}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// HubsPerZone is how many hubs an availability zone has: one may be lost and one stand
-	// still while the third still vouches for the zone.
+	// HubsPerZone is the number of hubs of an availability zone: one may be lost and one stand still
+	// while the third still attests the zone's instances.
 	HubsPerZone = 3
-	// introducedFor is how long an instance that was introduced counts as within reach
-	// before anybody vouches for it: links to hubs are up within some 0.1 s, in a fleet that
-	// starts all at once within a second.
-	introducedFor = 2 * time.Second
-	// candidateFor is how long an instance that nobody vouches for any more may still be
-	// taken for a hub, unless a link to it has failed. When all hubs of a zone are lost at
-	// once, its instances choose the next ones out of what the lost ones told last.
-	candidateFor = 10 * time.Second
-	// holdFor is how long what the last hub of the own zone told still counts after its link
-	// has ended: until the next hubs are linked to and have told.
-	holdFor = time.Second
-	// forgetAfter is how long an instance is known that nobody vouches for. One that is cut
-	// off is back within it, and is still counted as a part of the fleet meanwhile.
+	// bootstrapPeriod is how long an instance from a Bootstrap update counts as reachable before any
+	// peer attests it: links to hubs are up within about 0.1 s, in a fleet that starts all at once
+	// within a second.
+	bootstrapPeriod = 2 * time.Second
+	// candidatePeriod is how long an instance that is no longer attested may still become a hub,
+	// unless a link to it has failed. When all hubs of a zone are lost at once, its instances compute
+	// the next ones from the last updates of the lost ones.
+	candidatePeriod = 10 * time.Second
+	// holdPeriod is how long the updates of the last hub of this instance's zone still count after the
+	// link to it has ended: until the next hubs are linked and have sent theirs.
+	holdPeriod = time.Second
+	// forgetAfter is how long an instance that is no longer attested stays known. After a network
+	// partition it is back within this time, and it counts as a part of the fleet meanwhile.
 	forgetAfter = time.Minute
 )
 
-// Table is what one instance knows of all. It isn't safe for concurrent use.
+// Table is what one instance knows of all other instances. It isn't safe for concurrent use.
 type Table struct {
 	self    Member
 	members map[string]*entry
-	sources map[string]*source // tellings by the peer that told them
-	change  uint64             // counts changes of what is told
+	sources map[string]*source // by the peer that sent the updates
+	change  uint64             // counts changes of what updates to peers contain
 }
 
-// source is what one peer has told and hasn't taken back.
+// source is what one peer has sent and not withdrawn.
 type source struct {
-	kind  Kind
-	alive map[string]uint64 // incarnations by address
-	until time.Time         // it counts, after its link has ended; zero before
+	kind     Kind
+	attested map[string]uint64 // incarnations by address
+	expires  time.Time         // set once its link has ended, when it is held for a while
 }
 
-// Status of a member.
+// Status is a member and whether it is reachable.
 type Status struct {
 	Member
-	// InReach tells whether anybody vouches for it.
-	InReach bool
+	// Reachable reports whether any peer attests it.
+	Reachable bool
 }
 
 // NewTable returns the table of an instance that knows no other.
@@ -49,9 +49,9 @@
 	return &Table{self: self, members: map[string]*entry{}, sources: map[string]*source{}}
 }
 
-// Change counts the changes of which members there are and which are within reach, but for
-// those that come with time alone.
-func (t *Table) Change() uint64 { return t.change }
+// ChangeCount returns the number of changes of the members and of which of them are reachable so far.
+// Changes that come with the passage of time alone don't count.
+func (t *Table) ChangeCount() uint64 { return t.change }
 
 // Member returns what is known of an address.
 func (t *Table) Member(address string) (Member, bool) {
@@ -62,163 +62,164 @@
 	return e.Member, true
 }
 
-// Drain notes whether this instance itself drains: then it is no hub.
-func (t *Table) Drain(drains bool) { t.self.Draining = drains }
+// SetSelfDraining sets whether this instance drains. A draining instance is no hub.
+func (t *Table) SetSelfDraining(draining bool) { t.self.Draining = draining }
 
-// Link notes that a link to a member is up, which is proof of its process.
-func (t *Table) Link(now time.Time, m Member) {
+// LinkUp records that a link to a member is up, which is proof of its process.
+func (t *Table) LinkUp(now time.Time, m Member) {
 	if m.Address == t.self.Address {
 		return
 	}
 	e := t.entry(m.Address)
 	if e.Incarnation == m.Incarnation {
-		m.Draining = e.Draining // told by heartbeats
+		m.Draining = e.Draining // known from heartbeats
 	}
-	e.adopt(m, true)
+	e.update(m, true)
 	e.linked = true
-	t.weigh(now, e)
+	t.reevaluate(now, e)
 }
 
-// SetDraining notes what a member says of itself.
-func (t *Table) SetDraining(now time.Time, address string, drains bool) {
+// SetDraining records whether a member reports that it drains.
+func (t *Table) SetDraining(now time.Time, address string, draining bool) {
 	e := t.members[address]
-	if e == nil || e.Draining == drains {
+	if e == nil || e.Draining == draining {
 		return
 	}
-	e.Draining = drains
-	t.weigh(now, e)
+	e.Draining = draining
+	t.reevaluate(now, e)
 }
 
-// Unlink notes that the last link to a member has ended: it vouches for nobody any more.
-func (t *Table) Unlink(now time.Time, address string) {
-	t.hold(now, address)
-	t.Fail(now, address)
+// LinkDown records that the last link to a member has ended: it no longer attests other members.
+func (t *Table) LinkDown(now time.Time, address string) {
+	t.dropOrHoldSource(now, address)
+	t.LinkFailed(now, address)
 	if e := t.members[address]; e != nil {
 		e.linked = false
-		t.weigh(now, e)
+		t.reevaluate(now, e)
 	}
 }
 
-// Fail notes that no link to a member could be made: until somebody vouches for it anew it
-// isn't taken for a hub.
-func (t *Table) Fail(now time.Time, address string) {
+// LinkFailed records that no link to a member could be made: it is no hub candidate until it is
+// attested again.
+func (t *Table) LinkFailed(now time.Time, address string) {
 	if e := t.members[address]; e != nil {
-		e.failed = now
+		e.linkFailedAt = now
 	}
 }
 
-// hold takes back what a peer has told, at once or, where it was the last that told of the
-// whole fleet, after a while.
-func (t *Table) hold(now time.Time, peer string) {
+// dropOrHoldSource drops what a peer has sent. It holds it for holdPeriod instead where the peer is in
+// this instance's zone and was the only source of Indirect updates, which cover the whole fleet.
+func (t *Table) dropOrHoldSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	e := t.members[peer]
-	if s == nil || s.kind != Reached || e == nil || e.Zone != t.self.Zone || t.reachedSources() > 1 {
-		t.drop(now, peer)
+	if s == nil || s.kind != Indirect || e == nil || e.Zone != t.self.Zone || t.indirectSources() > 1 {
+		t.dropSource(now, peer)
 		return
 	}
-	s.until = now.Add(holdFor)
-	delete(s.alive, peer)
+	s.expires = now.Add(holdPeriod)
+	delete(s.attested, peer)
 }
 
-func (t *Table) reachedSources() (n int) {
+func (t *Table) indirectSources() (n int) {
 	for _, s := range t.sources {
-		if s.kind == Reached {
+		if s.kind == Indirect {
 			n++
 		}
 	}
 	return n
 }
 
-// release drops what was held of other peers, once it is too old or somebody has told anew.
-func (t *Table) release(now time.Time, all bool) {
+// dropHeldSources drops held sources that have expired, or all of them.
+func (t *Table) dropHeldSources(now time.Time, all bool) {
 	for peer, s := range t.sources {
-		if !s.until.IsZero() && (all || now.After(s.until)) {
-			t.drop(now, peer)
+		if !s.expires.IsZero() && (all || now.After(s.expires)) {
+			t.dropSource(now, peer)
 		}
 	}
 }
 
-// Tick lets time pass: it forgets members for which nobody has vouched for long.
+// Tick drops held sources that have expired, and forgets members that have not been attested for
+// forgetAfter.
 func (t *Table) Tick(now time.Time) {
-	t.release(now, false)
+	t.dropHeldSources(now, false)
 	t.forget(now)
 }
 
-// drop takes back all that a peer has told.
-func (t *Table) drop(now time.Time, peer string) {
+// dropSource withdraws all that a peer has sent.
+func (t *Table) dropSource(now time.Time, peer string) {
 	s := t.sources[peer]
 	delete(t.sources, peer)
 	if s == nil {
 		return
 	}
-	for address := range s.alive {
+	for address := range s.attested {
 		if e := t.members[address]; e != nil {
-			t.weigh(now, e)
+			t.reevaluate(now, e)
 		}
 	}
 }
 
-// Hear takes what a peer tells.
-func (t *Table) Hear(now time.Time, from string, told *Telling) {
-	if told.Kind == Introduced {
-		t.meet(now, told.News)
+// Merge merges an update from a peer. An Indirect one replaces held sources.
+func (t *Table) Merge(now time.Time, from string, update *Update) {
+	if update.Kind == Bootstrap {
+		t.mergeBootstrap(now, update.Records)
 		return
 	}
 	s := t.sources[from]
-	if s == nil || told.Full || s.kind != told.Kind {
-		t.drop(now, from)
-		s = &source{kind: told.Kind, alive: map[string]uint64{}}
+	if s == nil || update.Full || s.kind != update.Kind {
+		t.dropSource(now, from)
+		s = &source{kind: update.Kind, attested: map[string]uint64{}}
 		t.sources[from] = s
 	}
-	defer t.release(now, told.Kind == Reached)
-	for i := range told.News {
-		t.hearOne(now, s, &told.News[i])
+	defer t.dropHeldSources(now, update.Kind == Indirect)
+	for i := range update.Records {
+		t.mergeRecord(now, s, &update.Records[i])
 	}
 }
 
-func (t *Table) hearOne(now time.Time, s *source, n *News) {
-	if n.Address == "" || n.Address == t.self.Address {
+func (t *Table) mergeRecord(now time.Time, s *source, r *Record) {
+	if r.Address == "" || r.Address == t.self.Address {
 		return
 	}
-	if n.Gone {
-		delete(s.alive, n.Address)
-		if e := t.members[n.Address]; e != nil {
-			t.weigh(now, e)
+	if r.Removed {
+		delete(s.attested, r.Address)
+		if e := t.members[r.Address]; e != nil {
+			t.reevaluate(now, e)
 		}
 		return
 	}
-	e := t.entry(n.Address)
-	if !e.adopt(t.heard(now, e, n), false) {
+	e := t.entry(r.Address)
+	if !e.update(t.receivedMember(now, e, r), false) {
 		return
 	}
-	known := s.alive[n.Address] == n.Incarnation
-	s.alive[n.Address] = n.Incarnation
+	known := s.attested[r.Address] == r.Incarnation
+	s.attested[r.Address] = r.Incarnation
 	if known {
-		t.weighIfNew(now, e)
+		t.reevaluateIfChanged(now, e)
 		return
 	}
-	t.weigh(now, e)
+	t.reevaluate(now, e)
 }
 
-// meet takes introductions.
-func (t *Table) meet(now time.Time, news []News) {
-	for i := range news {
-		n := &news[i]
-		if n.Address == "" || n.Address == t.self.Address || n.Gone {
+// mergeBootstrap merges the records of a Bootstrap update.
+func (t *Table) mergeBootstrap(now time.Time, records []Record) {
+	for i := range records {
+		r := &records[i]
+		if r.Address == "" || r.Address == t.self.Address || r.Removed {
 			continue
 		}
-		e := t.entry(n.Address)
-		if e.adopt(t.heard(now, e, n), false) {
-			e.introduced = now
-			t.weighIfNew(now, e)
+		e := t.entry(r.Address)
+		if e.update(t.receivedMember(now, e, r), false) {
+			e.bootstrappedAt = now
+			t.reevaluateIfChanged(now, e)
 		}
 	}
 }
 
-// heard returns the member that news is of. What an instance itself says of draining goes
-// before what others say.
-func (t *Table) heard(now time.Time, e *entry, n *News) Member {
-	m := n.member(now)
+// receivedMember returns the member that a record describes. Whether a linked member drains is known
+// from the member itself, which takes precedence over the record.
+func (t *Table) receivedMember(now time.Time, e *entry, r *Record) Member {
+	m := r.member(now)
 	if e.linked && e.Incarnation == m.Incarnation {
 		m.Draining = e.Draining
 	}
@@ -234,62 +235,64 @@
 	return e
 }
 
-// weigh works out anew who vouches for a member, and notes whether that or the member itself
-// has changed.
-func (t *Table) weigh(now time.Time, e *entry) {
+// reevaluate recomputes which sources attest a member, and counts a change where that or the member
+// itself has changed.
+func (t *Table) reevaluate(now time.Time, e *entry) {
 	was := e.alive
-	e.reached, e.alive = e.linked, e.linked
+	e.hubLinked, e.alive = e.linked, e.linked
 	for _, s := range t.sources {
-		if incarnation, told := s.alive[e.Address]; told && incarnation == e.Incarnation {
+		if incarnation, attested := s.attested[e.Address]; attested && incarnation == e.Incarnation {
 			e.alive = true
-			e.reached = e.reached || s.kind == Linked
+			e.hubLinked = e.hubLinked || s.kind == Direct
 		}
 	}
 	if was || e.alive {
-		e.lastAlive = now
-		e.vouched = true
+		e.lastAliveAt = now
+		e.everAlive = true
 	}
-	known := weighed{e.Member, e.linked, e.reached, e.alive}
-	if e.changed == 0 || known != e.told {
+	known := publishedState{e.Member, e.linked, e.hubLinked, e.alive}
+	if e.changedAt == 0 || known != e.published {
 		t.change++
-		e.changed = t.change
-		e.told = known
+		e.changedAt = t.change
+		e.published = known
 	}
 }
 
-// weighIfNew weighs a member for which nobody else vouches than before, if it has changed.
-func (t *Table) weighIfNew(now time.Time, e *entry) {
-	if e.changed == 0 || e.Member != e.told.Member {
-		t.weigh(now, e)
+// reevaluateIfChanged reevaluates a member whose attestations are unchanged, if the member itself has
+// changed.
+func (t *Table) reevaluateIfChanged(now time.Time, e *entry) {
+	if e.changedAt == 0 || e.Member != e.published.Member {
+		t.reevaluate(now, e)
 	}
 }
 
-// inReach tells whether a member counts as within reach.
-func (t *Table) inReach(now time.Time, e *entry) bool {
-	hoped := !e.vouched && e.introduced.After(e.failed) && now.Sub(e.introduced) < introducedFor
-	return e.alive || hoped
+// isReachable reports whether a member counts as reachable: it is attested, or was received in a
+// Bootstrap update recently and has never been attested.
+func (t *Table) isReachable(now time.Time, e *entry) bool {
+	bootstrapped := !e.everAlive && e.bootstrappedAt.After(e.linkFailedAt) && now.Sub(e.bootstrappedAt) < bootstrapPeriod
+	return e.alive || bootstrapped
 }
 
-// InReach tells whether a member is known to be within reach.
-func (t *Table) InReach(now time.Time, address string) bool {
+// Reachable reports whether a member is known to be reachable.
+func (t *Table) Reachable(now time.Time, address string) bool {
 	e := t.members[address]
-	return e != nil && t.inReach(now, e)
+	return e != nil && t.isReachable(now, e)
 }
 
-// Members returns all that are known, in no order.
+// Members returns all known members, in no particular order.
 func (t *Table) Members(now time.Time) []Status {
 	out := make([]Status, 0, len(t.members))
 	for _, e := range t.members {
-		out = append(out, Status{Member: e.Member, InReach: t.inReach(now, e)})
+		out = append(out, Status{Member: e.Member, Reachable: t.isReachable(now, e)})
 	}
 	return out
 }
 
 func (t *Table) forget(now time.Time) {
 	for address, e := range t.members {
-		last := e.lastAlive
-		if e.introduced.After(last) {
-			last = e.introduced
+		last := e.lastAliveAt
+		if e.bootstrappedAt.After(last) {
+			last = e.bootstrappedAt
 		}
 		if !e.alive && now.Sub(last) > forgetAfter {
 			delete(t.members, address)
@@ -298,29 +301,29 @@
 	}
 }
 
-// Tell returns what is to be told in a telling of a kind beyond what was told at a change
-// before, 0 for the first, and the change up to which it tells.
-func (t *Table) Tell(now time.Time, k Kind, since uint64) (*Telling, uint64) {
-	told := &Telling{Kind: k, Full: since == 0}
-	if k == Nothing || since == t.change {
-		return told, t.change
+// UpdateSince returns an update of a kind with the members that have changed since a change count, 0
+// for a full one, and the change count up to which it is complete.
+func (t *Table) UpdateSince(now time.Time, k Kind, since uint64) (*Update, uint64) {
+	update := &Update{Kind: k, Full: since == 0}
+	if k == None || since == t.change {
+		return update, t.change
 	}
 	for _, e := range t.members {
-		gone := !t.tells(now, k, e)
-		if e.changed > since && (!gone || since > 0) {
-			told.News = append(told.News, e.news(now, gone))
+		removed := !t.includes(now, k, e)
+		if e.changedAt > since && (!removed || since > 0) {
+			update.Records = append(update.Records, e.record(now, removed))
 		}
 	}
-	return told, t.change
+	return update, t.change
 }
 
-// tells tells whether a member belongs in a telling of a kind.
-func (t *Table) tells(now time.Time, k Kind, e *entry) bool {
+// includes reports whether updates of a kind contain a member.
+func (t *Table) includes(now time.Time, k Kind, e *entry) bool {
 	switch k {
-	case Linked:
+	case Direct:
 		return e.linked && e.Zone == t.self.Zone
-	case Reached:
-		return e.reached
+	case Indirect:
+		return e.hubLinked
 	default:
 		return e.alive
 	}
--- a/internal/routing/build.go
+++ b/internal/routing/build.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
-// ErrInvalid: the document makes no sense as a whole. What was in force stays so;
-// mend what the text names and publish again.
-var ErrInvalid = errors.New("the routed configuration is invalid; what was in force stays in force")
+// ErrInvalid is wrapped by the errors of Build. A document with any fault is refused
+// as a whole, and the configuration in force stays in force. Operators correct the
+// faults that the text names and publish again.
+var ErrInvalid = errors.New("the routed configuration is invalid; the one in force stays in force")
 
 // Build checks a document and indexes it. The error wraps ErrInvalid and names
 // every fault found.
@@ -19,7 +20,7 @@
 		Limits:   d.Limits,
 		byHost:   map[string][]*Route{},
 		services: make(map[string]*Service, len(d.Services)),
-		holders:  map[string]*Organisation{},
+		byKey:    map[string]*Organisation{},
 	}}
 	b.limits(d.Limits)
 	for i := range d.Services {
@@ -49,7 +50,7 @@
 
 func (b *builder) limits(l Limits) {
 	if l.MaxBodyBytes < 0 {
-		b.fault("limits: the body's may not be negative")
+		b.fault("limits: the maximum body size may not be negative")
 	}
 }
 
@@ -62,7 +63,7 @@
 		b.fault("service %s is declared twice", s.Name)
 		return
 	}
-	if s.ColdStart < 0 || s.ColdPerSecond < 0 {
+	if s.ColdStart < 0 || s.ColdStartRate < 0 {
 		b.fault("service %s has a negative cold start", s.Name)
 		return
 	}
@@ -83,15 +84,16 @@
 		b.fault("route %s needs at least one attempt", r.Name)
 	case r.Rank < 0:
 		b.fault("route %s has a negative priority", r.Name)
-	case b.splits(r):
-		r.Host = NormalHost(r.Host)
+	case b.checkServices(r):
+		r.Host = NormaliseHost(r.Host)
 		b.table.byHost[r.Host] = append(b.table.byHost[r.Host], r)
 		b.table.routes++
 	}
 }
 
-// splits checks where a route's requests go.
-func (b *builder) splits(r *Route) bool {
+// checkServices reports whether the services of a route exist and have valid
+// weights.
+func (b *builder) checkServices(r *Route) bool {
 	total := 0
 	for _, s := range r.Split {
 		if b.table.services[s.Service] == nil {
@@ -105,7 +107,7 @@
 		total += s.Weight
 	}
 	if total == 0 {
-		b.fault("route %s goes to no service", r.Name)
+		b.fault("route %s has no service with a weight above 0", r.Name)
 		return false
 	}
 	return true
@@ -121,15 +123,15 @@
 		return
 	}
 	for _, key := range o.Keys {
-		if holder := b.table.holders[key]; holder != nil && holder != o {
+		if holder := b.table.byKey[key]; holder != nil && holder != o {
 			b.fault("organisations %s and %s hold the same key", holder.Name, o.Name)
 			return
 		}
-		b.table.holders[key] = o
+		b.table.byKey[key] = o
 	}
 }
 
-// order puts the routes of each host so that the longest prefix is found first.
+// order sorts the routes of each host so that Match finds the longest prefix first.
 func (b *builder) order() {
 	for _, routes := range b.table.byHost {
 		slices.SortStableFunc(routes, func(x, y *Route) int { return len(y.Prefix) - len(x.Prefix) })
--- a/internal/scheduler/members.go
+++ b/internal/scheduler/members.go
@@ -10,34 +10,34 @@
 	"github.com/tacktally/tacktally/internal/prefix"
 )
 
-// Member is an upstream as a list names it.
+// Member is one entry of a list of upstreams.
 type Member struct {
-	// ID tells apart upstreams that have the same address one after the other;
-	// the address where absent.
+	// ID distinguishes upstreams that use the same address one after another. The default is the
+	// address.
 	ID      string
 	Address string
 	Zone    string
 	Region  string
-	// Slots is how many requests it runs at once for all instances; 0 is unknown.
+	// Slots is the number of requests that it runs concurrently for all instances; 0 means unknown.
 	Slots   int
 	Leaving bool
-	// Born tells its processes apart, where it is known.
-	Born int64
-	// ColdUntil is until when it is cold, by what is published of it or has happened to it.
+	// Incarnation is the number of the upstream's process, if known.
+	Incarnation int64
+	// ColdUntil is the end of its cold start, as published or as inferred from events.
 	ColdUntil time.Time
-	// Limit is what it has named.
-	Limit balancer.NamedLimit
-	// MovedAt is when it moved to this core from another one, which knew Before of it; zero and nil
-	// where it wasn't.
-	MovedAt time.Time
-	Before  *balancer.Upstream
+	// AdvertisedLimit is the request rate that the upstream accepts, if it advertises one.
+	AdvertisedLimit balancer.AdvertisedLimit
+	// MovedAt is the time at which the upstream moved here from another Core, and Previous the
+	// state there. Zero and nil if it did not move.
+	MovedAt  time.Time
+	Previous *balancer.Upstream
 }
 
 func (m Member) id() string { return cmp.Or(m.ID, m.Address) }
 
-// SetMembers replaces the list of upstreams. What was learned of those that stay
-// is kept. Those gone from the list get nothing new. One that has started again under its ID
-// is another upstream: what runs by grants of before doesn't run there any more.
+// SetMembers replaces the list of upstreams. The state of upstreams that stay in the list is kept;
+// removed ones are granted no more requests. An upstream with a new incarnation starts with fresh
+// state: requests granted to the previous process do not occupy its slots.
 func (c *Core) SetMembers(members []Member) {
 	known := make(map[string]*balancer.Upstream, len(c.upstreams))
 	for _, u := range c.upstreams {
@@ -47,10 +47,10 @@
 	byID := make(map[string]*balancer.Upstream, len(members))
 	for _, m := range members {
 		u := known[m.id()]
-		if u == nil || u.Born != m.Born {
-			u = newUpstream(m, c.options.MemoryBlocks)
+		if u == nil || u.Incarnation != m.Incarnation {
+			u = newUpstream(m, c.options.PrefixIndexBlocks)
 			if !m.MovedAt.IsZero() {
-				u.Move(m.MovedAt, m.Before)
+				u.MoveFrom(m.MovedAt, m.Previous)
 			}
 		} else {
 			delete(known, m.id())
@@ -59,18 +59,18 @@
 		next = append(next, u)
 		byID[u.ID] = u
 	}
-	for _, gone := range known {
-		gone.Leaving = true
+	for _, removed := range known {
+		removed.Leaving = true
 	}
 	c.upstreams = next
 	c.byID = byID
-	c.countOthers()
+	c.recountLoads()
 }
 
-// ChangeMembers takes members that are new or have changed, and the IDs of those that have left the
-// list. All others stay as they are.
-func (c *Core) ChangeMembers(changed []Member, gone []string) {
-	for _, id := range gone {
+// UpdateMembers applies changes to the list of upstreams: members that are new or changed, and the
+// IDs of those removed. All others stay as they are.
+func (c *Core) UpdateMembers(changed []Member, removed []string) {
+	for _, id := range removed {
 		c.removeMember(id)
 	}
 	for _, m := range changed {
@@ -79,27 +79,27 @@
 }
 
 func (c *Core) removeMember(id string) {
-	gone := c.byID[id]
-	if gone == nil {
+	removed := c.byID[id]
+	if removed == nil {
 		return
 	}
-	gone.Leaving = true
+	removed.Leaving = true
 	delete(c.byID, id)
-	c.upstreams = slices.DeleteFunc(c.upstreams, func(u *balancer.Upstream) bool { return u == gone })
+	c.upstreams = slices.DeleteFunc(c.upstreams, func(u *balancer.Upstream) bool { return u == removed })
 }
 
 func (c *Core) changeMember(m Member) {
 	known := c.byID[m.id()]
-	if known != nil && known.Born == m.Born {
+	if known != nil && known.Incarnation == m.Incarnation {
 		c.update(known, m)
 		return
 	}
-	u := newUpstream(m, c.options.MemoryBlocks)
+	u := newUpstream(m, c.options.PrefixIndexBlocks)
 	c.update(u, m)
 	c.byID[u.ID] = u
-	for _, l := range c.others {
-		u.OthersPending += l.Pending[u.ID]
-		u.OthersRunning += l.Running[u.ID]
+	for _, l := range c.instanceLoads {
+		u.PendingElsewhere += l.Pending[u.ID]
+		u.RunningElsewhere += l.Running[u.ID]
 	}
 	if known == nil {
 		c.upstreams = append(c.upstreams, u)
@@ -109,34 +109,36 @@
 	c.upstreams[slices.Index(c.upstreams, known)] = u
 }
 
-// update takes what a list says of an upstream.
+// update applies a list entry to an upstream.
 func (c *Core) update(u *balancer.Upstream, m Member) {
 	u.Leaving = m.Leaving
 	u.Slots = m.Slots
-	u.Limits = c.limitsOf(u.Zone)
-	u.Named = m.Limit
-	u.SetRate(c.rateOf(u))
-	u.KeepCold(m.ColdUntil)
+	u.GrantLimits = c.grantLimitsOf(u.Zone)
+	u.AdvertisedLimit = m.AdvertisedLimit
+	u.SetRateLimit(c.rateOf(u))
+	u.KeepColdUntil(m.ColdUntil)
 }
 
 func newUpstream(m Member, blocks int) *balancer.Upstream {
-	u := &balancer.Upstream{ID: m.id(), Address: m.Address, Zone: m.Zone, Region: m.Region, Born: m.Born}
+	u := &balancer.Upstream{ID: m.id(), Address: m.Address, Zone: m.Zone, Region: m.Region, Incarnation: m.Incarnation}
 	u.Speed, u.Window = newEstimates()
 	if blocks > 0 {
-		u.Memory = prefix.NewMemory(blocks)
+		u.PrefixIndex = prefix.NewIndex(blocks)
 	}
 	return u
 }
 
-// MarkLeaving stops new work to an upstream at its own word or a peer's.
+// MarkLeaving stops new grants to an upstream that announced that it leaves, itself or through a
+// peer.
 func (c *Core) MarkLeaving(id string) {
 	if u := c.byID[id]; u != nil {
 		u.Leaving = true
 	}
 }
 
-// Adopt takes what another instance, which owns the shard, has learned of an upstream's speed.
-func (c *Core) Adopt(id string, r estimate.Rates) {
+// AdoptRates applies speed estimates of an upstream that another instance, the owner of the shard,
+// has learned.
+func (c *Core) AdoptRates(id string, r estimate.Rates) {
 	if u := c.byID[id]; u != nil {
 		u.Speed.Adopt(r)
 	}
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -291,7 +291,7 @@
 	r.sequence = &Sequence{
 		Prompt: max(len(prompt)/prefix.BytesPerToken, 1),
 		Output: output,
-		Chain:  prefix.Chain(prompt),
+		Chain:  prefix.Hashes(prompt),
 		Value:  r,
 	}
 	e.mu.Lock()
@@ -361,7 +361,7 @@
 		if e.cutNow(n) {
 			panic(http.ErrAbortHandler)
 		}
-		if _, err := w.Write(event.Piece); err != nil {
+		if _, err := w.Write(event.Chunk); err != nil {
 			return
 		}
 		_ = control.Flush()
--- a/internal/view/bench_test.go
+++ b/internal/view/bench_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A change of one entry, in lists of today's largest size, six times that, and the target's.
-func BenchmarkAChangeOfTheList(b *testing.B) {
+// BenchmarkListChange changes one entry, in lists of the largest size in use, six times that, and the
+// target size.
+func BenchmarkListChange(b *testing.B) {
 	for _, upstreams := range []int{168, 1_000, 10_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			v := newView(nil)
@@ -16,12 +17,12 @@
 				list[i] = Upstream{ID: fmt.Sprintf("i-%010x", i), Revision: int64(i + 1), Slots: 8}
 			}
 			revision := int64(upstreams)
-			v.Upstreams(list, revision, time.Now())
+			v.SetUpstreams(list, revision, time.Now())
 			u := list[0]
 			for b.Loop() {
 				revision++
 				u.Revision, u.Leaving = revision, !u.Leaving
-				v.Changes([]Change{{Upstream: u}}, revision, time.Now())
+				v.ApplyChanges([]Change{{Upstream: u}}, revision, time.Now())
 			}
 		})
 	}
--- a/internal/view/changes.go
+++ b/internal/view/changes.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// mostNamed bounds the upstreams that one line of the log names.
-const mostNamed = 12
+// maxNamed is the number of upstreams that one log line names at most.
+const maxNamed = 12
 
-// ListChange is what one step has changed of the list.
+// ListChange is the difference that one update has made to the list.
 type ListChange struct {
-	// Version of the list now. It may have risen though nothing else has changed.
+	// Version of the list after the update. It may have risen though nothing else has changed.
 	Version int64
-	// Changed upstreams are new on the list, or something is said of them that wasn't before.
+	// Changed upstreams are new on the list, or their entries have new content.
 	Changed []Upstream
-	// Gone are the IDs of those that aren't on the list any more.
-	Gone []string
+	// Removed are the IDs of upstreams that are no longer on the list.
+	Removed []string
 }
 
-// state is what a list says of one upstream, as logs show it.
+// state is the state of one upstream on the list, as logs show it.
 type state string
 
 // The states of an upstream.
@@ -34,69 +34,70 @@
 	cold     state = "cold"
 )
 
-// former is an upstream as it was before a step.
-type former struct {
-	entry  Upstream
-	listed bool
-	state  state
-	cold   time.Time
-	news   bool // peers may not know what the step tells, though it changes nothing here
+// previousState is an upstream as it was before an update.
+type previousState struct {
+	entry       Upstream
+	listed      bool
+	state       state
+	cold        time.Time
+	notifyPeers bool // peers may lack the change, though it changes nothing here
 }
 
-// touch notes an upstream as it was, before a step changes it for the first time. What a step costs
-// grows with what it touches.
-func (r *roster) touch(now time.Time, id string) *former {
-	if noted := r.touched[id]; noted != nil {
+// recordChange records an upstream as it was, before an update changes it for the first time. The
+// cost of an update grows with the number of upstreams recorded.
+func (r *roster) recordChange(now time.Time, id string) *previousState {
+	if noted := r.pending[id]; noted != nil {
 		return noted
 	}
 	u, listed := r.entries[id]
-	noted := &former{entry: u, listed: listed, state: r.stateOf(now, id), cold: r.cold[id]}
-	r.touched[id] = noted
+	noted := &previousState{entry: u, listed: listed, state: r.stateOf(now, id), cold: r.cold[id]}
+	r.pending[id] = noted
 	return noted
 }
 
-// commit ends a step: it returns what has changed since the one before, and the states that have, in words.
+// commit ends an update. It returns what has changed since the previous commit, and the changed
+// states as text for the log.
 func (r *roster) commit(now time.Time) (c ListChange, states string) {
 	c.Version = r.version
 	var named []string
-	for id, before := range r.touched {
+	for id, before := range r.pending {
 		u, listed := r.entries[id]
 		after := r.stateOf(now, id)
-		r.sums.replace(before, u, after)
+		r.checksums.replace(before, u, after)
 		if after != before.state {
 			named = append(named, id+" "+string(after))
 		}
 		cold := r.cold[id] != before.cold
-		if before.news || cold || after != before.state || u != before.entry {
-			r.log(id)
+		if before.notifyPeers || cold || after != before.state || u != before.entry {
+			r.logChange(id)
 		}
 		switch {
 		case before.listed && !listed:
-			c.Gone = append(c.Gone, id)
-		case listed && (!before.listed || cold || !u.says(before.entry)):
-			u.Cold = r.coldFor(now, id)
+			c.Removed = append(c.Removed, id)
+		case listed && (!before.listed || cold || !u.equalContent(before.entry)):
+			u.Cold = r.coldRemaining(now, id)
 			c.Changed = append(c.Changed, u)
 		}
 	}
-	if len(r.touched) > 0 {
-		r.touched = map[string]*former{}
+	if len(r.pending) > 0 {
+		r.pending = map[string]*previousState{}
 	}
 	slices.SortFunc(c.Changed, func(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) })
-	slices.Sort(c.Gone)
-	return c, inWords(named)
+	slices.Sort(c.Removed)
+	return c, formatStates(named)
 }
 
-// says tells whether an entry says the same of its upstream as another one.
-func (u Upstream) says(other Upstream) bool {
+// equalContent reports whether two entries are equal but for their revision and sequence number.
+func (u Upstream) equalContent(other Upstream) bool {
 	u.Revision, u.Sequence = other.Revision, other.Sequence
 	return u == other
 }
 
-// inWords names the upstreams whose state has changed, in order, with the new one.
-func inWords(named []string) string {
+// formatStates lists the upstreams whose state has changed in order, each with its new state.
+func formatStates(named []string) string {
 	slices.Sort(named)
-	if more := len(named) - mostNamed; more > 0 {
-		named = append(named[:mostNamed], fmt.Sprintf("%d more", more))
+	if more := len(named) - maxNamed; more > 0 {
+		named = append(named[:maxNamed], fmt.Sprintf("%d more", more))
 	}
 	return strings.Join(named, ", ")
 }
@@ -118,7 +119,7 @@
 	}
 }
 
-// age is the time since the list was shown to be current last, 0 if it never was.
+// age returns the time since the list was last shown to be current, 0 if it never was.
 func (r *roster) age(now time.Time) time.Duration {
 	if r.asOf.IsZero() {
 		return 0
@@ -126,28 +127,29 @@
 	return now.Sub(r.asOf)
 }
 
-// logged is an upstream of which a step has told something.
-type logged struct {
+// changeRecord is an upstream that an update has concerned.
+type changeRecord struct {
 	id      string
-	version int64 // of the list after the step
+	version int64 // of the list after the update
 }
 
-// leastLogged is how many of the last changes are known at least.
-const leastLogged = 256
-
-// log notes that something is known of an upstream since the list's version of today. The oldest notes are
-// dropped once there are more of them than upstreams: a whole list is smaller then.
-func (r *roster) log(id string) {
-	r.changes = append(r.changes, logged{id, r.version})
-	if most := max(len(r.entries), leastLogged); len(r.changes) > 2*most {
-		r.forgotten = r.changes[len(r.changes)-most-1].version
-		r.changes = slices.Clone(r.changes[len(r.changes)-most:])
+// minChanges is the number of recent changes that are always kept.
+const minChanges = 256
+
+// logChange appends an upstream to the change log, at the current version of the list. The oldest
+// records are dropped once there are more than twice as many as upstreams: the whole list is then
+// smaller.
+func (r *roster) logChange(id string) {
+	r.changes = append(r.changes, changeRecord{id, r.version})
+	if keep := max(len(r.entries), minChanges); len(r.changes) > 2*keep {
+		r.droppedUpTo = r.changes[len(r.changes)-keep-1].version
+		r.changes = slices.Clone(r.changes[len(r.changes)-keep:])
 	}
 }
 
-// changedSince returns the IDs of upstreams of which something has become known since a version, in order.
+// changedSince returns the IDs of the upstreams in the change log after a version, in order.
 func (r *roster) changedSince(version int64) []string {
-	first, _ := slices.BinarySearchFunc(r.changes, version+1, func(l logged, from int64) int { return cmp.Compare(l.version, from) })
+	first, _ := slices.BinarySearchFunc(r.changes, version+1, func(l changeRecord, from int64) int { return cmp.Compare(l.version, from) })
 	ids := make(map[string]bool, len(r.changes)-first)
 	for _, l := range r.changes[first:] {
 		ids[l.id] = true
--- a/internal/view/upstreams.go
+++ b/internal/view/upstreams.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Upstreams implements Sink: it takes the whole list.
-func (v *View) Upstreams(list []Upstream, revision int64, asOf time.Time) {
-	v.change("source", func(r *roster, now time.Time) {
+// SetUpstreams implements Sink. It sets the whole list as of a revision.
+func (v *View) SetUpstreams(list []Upstream, revision int64, asOf time.Time) {
+	v.updateList("source", func(r *roster, now time.Time) {
 		r.replace(now, list, revision)
 		r.prove(revision, asOf)
 	})
 }
 
-// Changes implements Sink.
-func (v *View) Changes(changes []Change, complete int64, asOf time.Time) {
-	v.change("source", func(r *roster, now time.Time) {
+// ApplyChanges implements Sink.
+func (v *View) ApplyChanges(changes []Change, complete int64, asOf time.Time) {
+	v.updateList("source", func(r *roster, now time.Time) {
 		r.apply(now, changes, complete)
 		r.prove(complete, asOf)
 	})
 }
 
-// Current implements Sink.
-func (v *View) Current(revision int64, asOf time.Time) {
+// ProveCurrent implements Sink.
+func (v *View) ProveCurrent(revision int64, asOf time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.upstreams.prove(revision, asOf)
 }
 
-// LearnUpstreams takes a peer's list if it is newer than the one at hand. One of the same
-// version proves that the one at hand is as current as the peer's; it needs no upstreams. It tells
-// whether the two are alike as far as is known: where they have the same version and aren't, the peer is to be
-// asked for the parts that differ (see Have).
-func (v *View) LearnUpstreams(l List, peer string) (alike bool) {
+// MergeUpstreams merges a peer's list if it is newer than this one. A list of the same version needs
+// no upstreams: it shows that this list is as current as the peer's. MergeUpstreams reports whether
+// the two are identical as far as is known. If it returns false, they differ though they have the
+// same version, and the differing chunks should be requested from the peer (see KnownState).
+func (v *View) MergeUpstreams(l List, peer string) (identical bool) {
 	if l.Version < v.ListVersion() || l.Version == 0 {
 		return true
 	}
-	v.change("peer "+peer, func(r *roster, now time.Time) {
-		r.learn(now, l)
+	v.updateList("peer "+peer, func(r *roster, now time.Time) {
+		r.merge(now, l)
 		if l.Version == r.version {
 			r.prove(r.complete, l.AsOf)
 		}
@@ -45,66 +45,66 @@
 	return v.compare(l, peer)
 }
 
-// compare notes whether the list is like the one that a peer has handed over.
-func (v *View) compare(l List, peer string) (alike bool) {
+// compare records and reports whether the list is identical to the one that a peer sent.
+func (v *View) compare(l List, peer string) (identical bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
 	if l.Digest == 0 || l.Version != r.version {
 		return true
 	}
-	r.unlike = 0
-	compared := r.compared == r.version && l.Parts == nil
-	if compared || l.Digest == r.sums.listed.Digest() {
+	r.differsAt = 0
+	compared := r.comparedAt == r.version && l.Chunks == nil
+	if compared || l.Digest == r.checksums.listed.Digest() {
 		return true
 	}
-	if l.Parts != nil {
-		r.compared = r.version
+	if l.Chunks != nil {
+		r.comparedAt = r.version
 	}
-	known := r.compared == r.version // what this instance knows better stays as it is
+	known := r.comparedAt == r.version // the remaining differences are newer entries of this instance
 	if !known {
-		r.unlike = r.version
+		r.differsAt = r.version
 	}
 	v.o.Metrics.Count("tacktally_lists_unlike_total")
-	v.o.Log.Warn().Str("event", "lists_unlike").Int64("version", r.version).Str("peer", peer).Str("digest", r.sums.text()).
-		Int64("since", l.Since).Int("parts", len(l.Parts)).Bool("known", known).Msg("")
+	v.o.Log.Warn().Str("event", "lists_unlike").Int64("version", r.version).Str("peer", peer).Str("digest", r.checksums.short()).
+		Int64("since", l.Since).Int("parts", len(l.Chunks)).Bool("known", known).Msg("")
 	return known
 }
 
-// Have returns what is known of the list, for a peer that is asked for it.
-func (v *View) Have() Have {
+// KnownState returns what is known of the list, to be sent to a peer with a request for its list.
+func (v *View) KnownState() KnownState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
-	have := Have{Version: r.version}
-	if r.version > 0 && r.unlike == r.version {
-		have.Sums = slices.Clone(r.sums.listed[:])
+	known := KnownState{Version: r.version}
+	if r.version > 0 && r.differsAt == r.version {
+		known.Checksums = slices.Clone(r.checksums.listed[:])
 	}
-	return have
+	return known
 }
 
-// SourceWasThere takes a peer's word that the source was there all the time for so long. What
-// is missing after an outage within it didn't lapse, but has left: an instance whose own
-// connections failed would otherwise go on using it until it has settled.
-func (v *View) SourceWasThere(steady time.Duration, peer string) {
+// MergeSourceUptime merges a peer's report that it has reached the source without interruption for a
+// duration. Upstreams missing after an outage within that duration haven't lapsed, but were removed:
+// an instance whose own connections failed would otherwise keep using them until its list has settled.
+func (v *View) MergeSourceUptime(uptime time.Duration, peer string) {
 	v.mu.Lock()
-	settles := v.upstreams.settles.After(v.o.Now()) || len(v.upstreams.missing) > 0
+	settles := v.upstreams.settlesAt.After(v.o.Now()) || len(v.upstreams.missing) > 0
 	v.mu.Unlock()
 	if !settles {
 		return
 	}
-	v.change("steady peer "+peer, func(r *roster, now time.Time) {
-		r.giveUpMissing(now, now.Add(v.o.Settle+v.o.Lapse-steady))
+	v.updateList("steady peer "+peer, func(r *roster, now time.Time) {
+		r.dropMissingFrom(now, now.Add(v.o.SettlePeriod+v.o.LapseAfter-uptime))
 	})
 }
 
-// settle gives up what is missing for too long.
-func (v *View) settle() {
-	v.change("settled", func(r *roster, now time.Time) { r.settle(now) })
+// dropExpired drops the upstreams that have been missing for too long.
+func (v *View) dropExpired() {
+	v.updateList("settled", func(r *roster, now time.Time) { r.dropExpired(now) })
 }
 
-// change changes the list. Who uses it is told, and the log, if anything has.
-func (v *View) change(from string, f func(*roster, time.Time)) {
+// updateList applies a function to the list, and logs and reports the difference if there is one.
+func (v *View) updateList(from string, f func(*roster, time.Time)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := &v.upstreams
@@ -112,11 +112,11 @@
 	version := r.version
 	f(r, now)
 	if next, some := r.nextSettle(); some {
-		v.settleAt(next)
+		v.scheduleSettle(next)
 	}
-	if version > 0 && EraOf(r.version) > EraOf(version) {
+	if version > 0 && EpochOf(r.version) > EpochOf(version) {
 		v.o.Log.Warn().Str("event", "source_restored").Int64("version", r.version).Int64("version_before", version).
-			Dur("settling", max(r.settles.Sub(now), 0)).Str("from", from).Msg("the source came back from a copy")
+			Dur("settling", max(r.settlesAt.Sub(now), 0)).Str("from", from).Msg("the source was restored from a copy; upstreams absent from it count as missing while the list settles")
 	}
 	change, states := r.commit(now)
 	if states == "" && len(change.Changed) == 0 && version == r.version {
@@ -124,30 +124,31 @@
 	}
 	v.o.Log.Info().Str("event", "upstreams").Int64("version", r.version).Int64("complete", r.complete).
 		Dur("age", r.age(now)).Int("count", len(r.entries)).Int("missing", len(r.missing)).
-		Dur("settling", max(r.settles.Sub(v.o.Now()), 0)).Str("digest", r.sums.text()).
+		Dur("settling", max(r.settlesAt.Sub(v.o.Now()), 0)).Str("digest", r.checksums.short()).
 		Str("changed", states).Str("from", from).Msg("")
 	if v.o.OnUpstreams != nil {
 		v.o.OnUpstreams(change)
 	}
 }
 
-// settleAt lets settle be called at a time. The caller holds the lock.
-func (v *View) settleAt(t time.Time) {
-	if v.settling == nil {
-		v.settling = time.AfterFunc(t.Sub(v.o.Now()), v.settle)
+// scheduleSettle sets the timer that drops expired missing upstreams. The caller holds the lock.
+func (v *View) scheduleSettle(t time.Time) {
+	if v.settleTimer == nil {
+		v.settleTimer = time.AfterFunc(t.Sub(v.o.Now()), v.dropExpired)
 		return
 	}
-	v.settling.Reset(t.Sub(v.o.Now()))
+	v.settleTimer.Reset(t.Sub(v.o.Now()))
 }
 
 // List returns the whole list.
-func (v *View) List() List { return v.HandOver(Have{Whole: true}) }
+func (v *View) List() List { return v.ListFor(KnownState{WholeOnly: true}) }
 
-// HandOver returns the list for a peer, by what it has.
-func (v *View) HandOver(have Have) List {
+// ListFor returns the list to send to a peer that has the given state: only the changes, where that
+// is enough.
+func (v *View) ListFor(known KnownState) List {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.upstreams.handOver(v.o.Now(), have)
+	return v.upstreams.listFor(v.o.Now(), known)
 }
 
 // ListCount returns how many upstreams are on the list.
@@ -164,8 +165,8 @@
 	return v.upstreams.version
 }
 
-// ListAge returns how long ago the read was sent that showed the list to be current last;
-// known is false while there is no list.
+// ListAge returns how long ago the read was sent that last showed the list to be current; known is
+// false while there is no list.
 func (v *View) ListAge() (age time.Duration, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
