--- a/client/client_test.go
+++ b/client/client_test.go
@@ -25,7 +25,7 @@
 
 var fast = engine.Spec{PrefillPerSecond: 1e6, StepBase: time.Millisecond, Slots: 32, ChunkTokens: 4096, CacheBlocks: 64}
 
-func start(t *testing.T, daemons int) *rig.Rig {
+func start(t *testing.T, daemons int) *rig.Harness {
 	t.Helper()
 	r, err := rig.Start(rig.Options{Engines: []engine.Spec{fast}, Daemons: daemons})
 	if err != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -24,7 +24,7 @@
 
 var spec = engine.Spec{PrefillPerSecond: 1e6, Slots: 4, ChunkTokens: 512, CacheBlocks: 8}
 
-func start(t *testing.T) (r *rig.Rig, run func(args ...string) (int, string, string)) {
+func start(t *testing.T) (r *rig.Harness, run func(args ...string) (int, string, string)) {
 	t.Helper()
 	r, err := rig.Start(rig.Options{Engines: []engine.Spec{spec}, Daemons: 2})
 	if err != nil {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -332,7 +332,7 @@
 	}))
 	is.NoErr(err)
 	defer path.Close()
-	heal := path.Harm(soak.Silent)
+	heal := path.Inject(soak.Silent)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err = newPool(path.Address()).Do(ctx, get("1"))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 			is := is.New(t)
 			one, two := Run(Colombo(), s, own, 7), Run(Colombo(), s, own, 7)
 			is.Equal(one.InTime, two.InTime)
-			is.Equal(one.PromptRead, two.PromptRead)
+			is.Equal(one.PrefilledTokens, two.PrefilledTokens)
 			is.Equal(one.Sheds, two.Sheds)
 			is.Equal(one.Violations, 0)
 		})
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -17,21 +17,21 @@
 	Sheds [ranks]map[api.Reason]int
 	// Late answers and requests that timed out.
 	Late [ranks]int
-	// PromptRead is the prompt tokens read; PromptWasted those read again or for
+	// PrefilledTokens is the prompt tokens read; PromptWasted those read again or for
 	// answers that weren't in time.
-	PromptRead   int
-	PromptWasted int
-	// PromptAgain is the part of PromptWasted that was read again.
-	PromptAgain int
+	PrefilledTokens int
+	WastedTokens    int
+	// RecomputedTokens is the part of PromptWasted that was read again.
+	RecomputedTokens int
 	// First tokens, in ms, of tier 0 and of all.
-	FirstTop, FirstAll *hdrhistogram.Histogram
+	TopTierTTFT, TTFT *hdrhistogram.Histogram
 	// Violations counts sheds of a higher tier for load while a reachable
 	// instance still held lower work.
 	Violations int
 }
 
 func newResult() *Result {
-	r := &Result{FirstTop: hdrhistogram.New(1, 200_000, 3), FirstAll: hdrhistogram.New(1, 200_000, 3)}
+	r := &Result{TopTierTTFT: hdrhistogram.New(1, 200_000, 3), TTFT: hdrhistogram.New(1, 200_000, 3)}
 	for i := range r.Sheds {
 		r.Sheds[i] = map[api.Reason]int{}
 	}
@@ -46,8 +46,8 @@
 // been read before, by any engine.
 func (r *Result) read(w *world, j *job) {
 	j.counted = true
-	read := j.sequence.Read()
-	r.PromptRead += read
+	read := j.sequence.Prefilled()
+	r.PrefilledTokens += read
 	cached := j.sequence.Prompt - read
 	again := 0
 	for i, b := range j.arrival.chain {
@@ -56,8 +56,8 @@
 		}
 		w.readOnce[b] = true
 	}
-	r.PromptWasted += min(again, read)
-	r.PromptAgain += min(again, read)
+	r.WastedTokens += min(again, read)
+	r.RecomputedTokens += min(again, read)
 	j.readAgain = min(again, read)
 }
 
@@ -67,16 +67,16 @@
 		return
 	}
 	if !j.counted {
-		r.PromptRead += j.sequence.Read()
+		r.PrefilledTokens += j.sequence.Prefilled()
 	}
-	r.PromptWasted += j.sequence.Read() - j.readAgain
+	r.WastedTokens += j.sequence.Prefilled() - j.readAgain
 }
 
 func (r *Result) answered(w *world, j *job) {
 	c := j.arrival.class
-	_ = r.FirstAll.RecordValue(max(j.first.Milliseconds(), 1))
+	_ = r.TTFT.RecordValue(max(j.first.Milliseconds(), 1))
 	if c.tier == 0 {
-		_ = r.FirstTop.RecordValue(max(j.first.Milliseconds(), 1))
+		_ = r.TopTierTTFT.RecordValue(max(j.first.Milliseconds(), 1))
 	}
 	inTime := w.now-j.arrival.at <= c.timeout && (c.firstToken == 0 || j.first <= c.firstToken)
 	if inTime {
@@ -97,8 +97,8 @@
 	return float64(r.InTime[tier]) / float64(max(r.Offered[tier], 1))
 }
 
-// Total returns the share of all requests that were answered in time.
-func (r *Result) Total() float64 {
+// TotalGoodput returns the share of all requests that were answered in time.
+func (r *Result) TotalGoodput() float64 {
 	in, offered := 0, 0
 	for i := range r.InTime {
 		in += r.InTime[i]
@@ -107,8 +107,10 @@
 	return float64(in) / float64(max(offered, 1))
 }
 
-// Wasted returns the share of the prompt tokens read that was wasted.
-func (r *Result) Wasted() float64 { return float64(r.PromptWasted) / float64(max(r.PromptRead, 1)) }
+// WastedShare returns the share of the prompt tokens read that was wasted.
+func (r *Result) WastedShare() float64 {
+	return float64(r.WastedTokens) / float64(max(r.PrefilledTokens, 1))
+}
 
 // add joins the result of another seed.
 func (r *Result) add(o *Result) {
@@ -120,10 +122,10 @@
 			r.Sheds[i][reason] += n
 		}
 	}
-	r.PromptRead += o.PromptRead
-	r.PromptWasted += o.PromptWasted
-	r.PromptAgain += o.PromptAgain
+	r.PrefilledTokens += o.PrefilledTokens
+	r.WastedTokens += o.WastedTokens
+	r.RecomputedTokens += o.RecomputedTokens
 	r.Violations += o.Violations
-	r.FirstTop.Merge(o.FirstTop)
-	r.FirstAll.Merge(o.FirstAll)
+	r.TopTierTTFT.Merge(o.TopTierTTFT)
+	r.TTFT.Merge(o.TTFT)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -138,8 +138,8 @@
 	for _, r := range rows {
 		x := r.Result
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%v\t%d/%d\t%d/%d\t%s\t%d\n", r.Deployment, r.Scenario, r.Policy,
-			100*x.Goodput(0), 100*x.Goodput(1), 100*x.Goodput(2), 100*x.Goodput(3), 100*x.Total(), 100*x.Wasted(), 100*float64(x.PromptAgain)/float64(max(x.PromptRead, 1)), x.Late,
-			x.FirstTop.ValueAtQuantile(50), x.FirstTop.ValueAtQuantile(95), x.FirstAll.ValueAtQuantile(50), x.FirstAll.ValueAtQuantile(95),
+			100*x.Goodput(0), 100*x.Goodput(1), 100*x.Goodput(2), 100*x.Goodput(3), 100*x.TotalGoodput(), 100*x.WastedShare(), 100*float64(x.RecomputedTokens)/float64(max(x.PrefilledTokens, 1)), x.Late,
+			x.TopTierTTFT.ValueAtQuantile(50), x.TopTierTTFT.ValueAtQuantile(95), x.TTFT.ValueAtQuantile(50), x.TTFT.ValueAtQuantile(95),
 			sheds(x), x.Violations)
 	}
 	return w.Flush()
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -127,7 +127,7 @@
 // publishCacheEvents lets every engine tell of its cache, late and with gaps.
 func (w *world) publishCacheEvents(random *rand.Rand) {
 	for address, e := range w.engines {
-		e.model.OnCache(func(added, dropped []uint64) {
+		e.model.OnCacheChange(func(added, dropped []uint64) {
 			if random.Float64() < cacheEventGap {
 				return
 			}
@@ -297,7 +297,7 @@
 	took, wrote := e.model.Step()
 	written := make([]int, len(wrote))
 	for i, s := range wrote {
-		written[i] = s.Written()
+		written[i] = s.Emitted()
 	}
 	e.world.after(took, func() {
 		e.stepping = false
--- a/internal/faults/answers_test.go
+++ b/internal/faults/answers_test.go
@@ -23,7 +23,7 @@
 	for _, p := range f.daemons[:2] {
 		cut(alone, p)
 	}
-	alone.platWire.Cut("")
+	alone.platWire.Partition("")
 	f.eventually("it is alone", func() bool { return alone.reachable() == 0 })
 	is.Equal(alone.send(call{path: lookup, body: "a"}).body, service.Answer("a"))
 	is.Equal(alone.send(call{path: release, body: "b", key: alone.issue()}).body, service.Answer("b"))
@@ -123,7 +123,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort")
-	f.service.SetFaults(service.Faults{CutBody: true})
+	f.service.SetFaults(service.Faults{TruncateBody: true})
 	r := f.daemons[0].send(call{path: lookup, body: "a"})
 	is.True(!r.whole)
 }
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
 	body := prompt("a long dossier", true)
-	f.engine.SetFaults(engine.Faults{CutAfter: 2})
+	f.engine.SetFaults(engine.Faults{TruncateAfter: 2})
 	r := f.daemons[0].send(call{path: chat, body: body})
 	is.Equal(r.outcome, api.Answered)
 	whole := ""
--- a/internal/faults/configuration_test.go
+++ b/internal/faults/configuration_test.go
@@ -21,7 +21,7 @@
 			f.eventually(fmt.Sprintf("%s has revision %d", p.ip, revision), func() bool { return p.status().Revision == revision })
 		}
 	}
-	f.daemons[2].platWire.Cut("") // learns from its peers alone
+	f.daemons[2].platWire.Partition("") // learns from its peers alone
 	f.publish(3)
 	all(3)
 	f.platform.Publish(2, document("stale"))
--- a/internal/faults/fleet_test.go
+++ b/internal/faults/fleet_test.go
@@ -333,8 +333,8 @@
 
 // cut separates two daemons, silently.
 func cut(a, b *process) {
-	a.peerWire.Cut(b.ip)
-	b.peerWire.Cut(a.ip)
+	a.peerWire.Partition(b.ip)
+	b.peerWire.Partition(a.ip)
 }
 
 func heal(a, b *process) {
--- a/internal/faults/idle_test.go
+++ b/internal/faults/idle_test.go
@@ -59,7 +59,7 @@
 			system, _ := strconv.ParseFloat(fields[14], 64)
 			cpu += (user + system) / clockTicks
 		}
-		bytes += p.peerWire.Passed() + p.platWire.Passed()
+		bytes += p.peerWire.RelayedBytes() + p.platWire.RelayedBytes()
 	}
 	return cpu, bytes
 }
--- a/internal/faults/matrix_test.go
+++ b/internal/faults/matrix_test.go
@@ -44,7 +44,7 @@
 	{"zone cut",
 		func(c *cell) { cut(c.issuer(), c.entry()); cut(c.issuer(), c.far()) },
 		func(c *cell) { heal(c.issuer(), c.entry()); heal(c.issuer(), c.far()) }},
-	{"platform cut", func(c *cell) { c.issuer().platWire.Cut("") }, func(c *cell) { c.issuer().platWire.Heal("") }},
+	{"platform cut", func(c *cell) { c.issuer().platWire.Partition("") }, func(c *cell) { c.issuer().platWire.Heal("") }},
 	{"platform stale", func(c *cell) { c.fleet.publish(0 + 1) }, func(c *cell) { c.fleet.publish(9) }},
 	{"upstream slow", func(c *cell) {}, nil}, // the stand-in holds its answer until after the repeats
 	{"upstream leaving", func(c *cell) { c.leave() }, nil},
--- a/internal/faults/orders_test.go
+++ b/internal/faults/orders_test.go
@@ -54,7 +54,7 @@
 			f.eventually("the woken one knows", func() bool { return first.status().Revision == 3 })
 			f.declare(4, "v4", checks)
 			f.eventually("version 4 is loaded", f.loaded("v4"))
-			is.True(rising(f.engine.Orders.Taken()))
+			is.True(rising(f.engine.Orders.Accepted()))
 		})
 	}
 }
@@ -68,14 +68,14 @@
 	f.declare(2, "v2", false)
 	f.eventually("version 2 is loaded", f.loaded("v2"))
 	old := f.daemons[1]
-	old.platWire.Cut("")
+	old.platWire.Partition("")
 	cut(old, f.daemons[0])
 	f.eventually("it is alone", func() bool { return old.reachable() == 0 })
 	f.declare(3, "v3", false)
 	f.eventually("version 3 is loaded", f.loaded("v3"))
 	f.eventually("it has tried and refrained", func() bool { return old.metric("tacktally_order_failures_total") > 0 })
 	is.True(f.loaded("v3")())
-	is.True(rising(f.engine.Orders.Taken()))
+	is.True(rising(f.engine.Orders.Accepted()))
 	old.platWire.Heal("")
 	heal(old, f.daemons[0])
 	f.eventually("it is back", func() bool { return old.status().Revision == 3 })
@@ -103,7 +103,7 @@
 		return len(s.Models) == 1 && s.Models[0] == modelName && s.Role == api.RoleDecode
 	})
 	f.eventually("another round was made", func() bool { return f.daemons[0].metric("tacktally_order_rounds_total") > 3 })
-	is.Equal(len(f.engine.Orders.Taken()), 2)
+	is.Equal(len(f.engine.Orders.Accepted()), 2)
 }
 
 // Loads keep the store's rate.
@@ -115,5 +115,5 @@
 		{Name: "a", Version: "1"}, {Name: "b", Version: "1"}, {Name: "c", Version: "1"}, {Name: "d", Version: "1"},
 	}}))
 	f.eventually("a load is deferred", func() bool { return f.daemons[0].metric("tacktally_orders_deferred_total") > 0 })
-	is.Equal(len(f.engine.Orders.Taken()), 2)
+	is.Equal(len(f.engine.Orders.Accepted()), 2)
 }
--- a/internal/faults/parts_test.go
+++ b/internal/faults/parts_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	const organisations, parts = 12_000, 16
 	f := newFleet(t, "fort", "fort")
-	f.daemons[1].platWire.Cut("")
+	f.daemons[1].platWire.Partition("")
 	var refs []string
 	publish := func(n int, salt string, late bool) {
 		var list []string
--- a/internal/faults/random_test.go
+++ b/internal/faults/random_test.go
@@ -191,7 +191,7 @@
 		case 5:
 			f.service.SetFaults(service.Faults{Break: n%2 == 0})
 		case 7:
-			f.engine.SetFaults(engine.Faults{CutAfter: 1 + random.IntN(3)})
+			f.engine.SetFaults(engine.Faults{TruncateAfter: 1 + random.IntN(3)})
 		case 9:
 			f.platform.SetInstances(f.list) // the same under a new version
 		case 8:
@@ -199,7 +199,7 @@
 			<-tick.C
 			f.engine.SetFaults(engine.Faults{})
 		case 6:
-			a.platWire.Cut("")
+			a.platWire.Partition("")
 			<-tick.C
 			a.platWire.Heal("")
 		}
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -13,9 +13,9 @@
 
 // Slope is one cost measured at several sizes.
 type Slope struct {
-	// What is measured, and by what size it grows.
-	What string
-	By   string
+	// Cost is measured, and by what size it grows.
+	Cost      string
+	Dimension string
 	// Unit of the cost.
 	Unit string
 	// Sizes and Costs, in pairs.
@@ -69,7 +69,7 @@
 	fmt.Fprintln(w, "cost\tunit\tby\tsizes\tcosts\tbase\tper unit\tlargest error")
 	for _, s := range all {
 		f := s.Fit()
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%s\t%.0f%%\n", s.What, s.Unit, s.By, s.Sizes, numbers(s.Costs), number(f.Base), number(f.PerUnit), 100*f.MaxError)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%s\t%.0f%%\n", s.Cost, s.Unit, s.Dimension, s.Sizes, numbers(s.Costs), number(f.Base), number(f.PerUnit), 100*f.MaxError)
 	}
 	return w.Flush()
 }
@@ -89,7 +89,7 @@
 
 // measure takes a cost at each size.
 func measure(what, unit, by string, sizes []int, cost func(size int) float64) Slope {
-	s := Slope{What: what, Unit: unit, By: by, Sizes: sizes}
+	s := Slope{Cost: what, Unit: unit, Dimension: by, Sizes: sizes}
 	for _, size := range sizes {
 		s.Costs = append(s.Costs, cost(size))
 	}
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -21,9 +21,9 @@
 // enough is the number of crashes that show what a request does.
 const enough = 3
 
-// Ended records that an upstream ends under a request of an instance that has run for so long. One that
+// RecordCrash records that an upstream ends under a request of an instance that has run for so long. One that
 // has just started can't have heard of what was before.
-func (c *Crashes) Ended(age time.Duration) {
+func (c *Crashes) RecordCrash(age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.at) >= enough && age < c.Window {
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -12,8 +12,8 @@
 // Request is what a caller sent.
 type Request struct {
 	ID string
-	// Once: it may run at most once.
-	Once bool
+	// AtMostOnce: it may run at most once.
+	AtMostOnce bool
 	// Revocable: it came under a key that is taken away and given back.
 	Revocable bool
 	// Events of a stream that it asks for; 0 for an answer that is no stream.
@@ -23,21 +23,21 @@
 	Left time.Time
 }
 
-// Answer is what a caller got.
-type Answer struct {
+// Response is what a caller got.
+type Response struct {
 	// Status is 0 where no answer came.
 	Status int
 	Body   string
 	// Complete tells whether the body ended as it should.
 	Complete bool
-	Got      time.Time
+	Received time.Time
 }
 
 // Ledger collects what was seen. Safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	requests map[string]Request
-	answers  map[string]Answer
+	answers  map[string]Response
 	runs     map[string][]time.Time
 	revoked  []span
 	forged   []string
@@ -48,7 +48,7 @@
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{requests: map[string]Request{}, answers: map[string]Answer{}, runs: map[string][]time.Time{}}
+	return &Ledger{requests: map[string]Request{}, answers: map[string]Response{}, runs: map[string][]time.Time{}}
 }
 
 // Sent records a request before it is sent.
@@ -91,10 +91,10 @@
 }
 
 // Answered records what a caller got.
-func (l *Ledger) Answered(id string, a Answer) {
+func (l *Ledger) Answered(id string, a Response) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.Got = time.Now()
+	a.Received = time.Now()
 	l.answers[id] = a
 }
 
@@ -113,20 +113,20 @@
 	l.revoked[len(l.revoked)-1].to = time.Now()
 }
 
-// Body is the only right body of a request's answer, a stream's whole.
-func Body(r Request) string {
+// ExpectedBody is the only right body of a request's answer, a stream's whole.
+func ExpectedBody(r Request) string {
 	if r.Events == 0 {
 		return "answer to " + r.ID
 	}
 	var out strings.Builder
 	for i := 1; i <= r.Events; i++ {
-		out.WriteString(EventOf(r.ID, i))
+		out.WriteString(StreamEvent(r.ID, i))
 	}
 	return out.String()
 }
 
-// EventOf is one event of a stream, counted from 1.
-func EventOf(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
+// StreamEvent is one event of a stream, counted from 1.
+func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
 // refusals are the statuses that promise that a request hasn't run and never will.
 var refusals = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
@@ -142,7 +142,7 @@
 		switch {
 		case !known:
 			out = append(out, id+" ran, and no caller sent it")
-		case r.Once && len(runs) > 1:
+		case r.AtMostOnce && len(runs) > 1:
 			out = append(out, fmt.Sprintf("%s may run once and ran %d times", id, len(runs)))
 		case r.Revocable && l.wasRevoked(r.Sent.Add(-lease), r.Sent):
 			out = append(out, fmt.Sprintf("%s ran, sent over %v after its key was taken away", id, lease))
@@ -164,8 +164,8 @@
 	})
 }
 
-func checkAnswer(r Request, a Answer, runs int) string {
-	want := Body(r)
+func checkAnswer(r Request, a Response, runs int) string {
+	want := ExpectedBody(r)
 	switch {
 	case a.Status == http.StatusOK && a.Complete && a.Body != want:
 		return fmt.Sprintf("got %q, complete, in place of %q", a.Body, want)
@@ -173,14 +173,14 @@
 		return fmt.Sprintf("got %q, cut, of %q", a.Body, want)
 	case a.Status == http.StatusOK && runs == 0:
 		return "was answered and never ran"
-	case r.Once && slices.Contains(refusals, a.Status) && runs > 0:
+	case r.AtMostOnce && slices.Contains(refusals, a.Status) && runs > 0:
 		return fmt.Sprintf("was refused with %d and ran", a.Status)
 	}
 	return ""
 }
 
-// CountAnswers counts the answers of a kind.
-func (l *Ledger) CountAnswers(is func(Answer) bool) (n int) {
+// CountResponses counts the answers of a kind.
+func (l *Ledger) CountResponses(is func(Response) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.answers {
--- a/internal/soak/ledger_test.go
+++ b/internal/soak/ledger_test.go
@@ -14,25 +14,25 @@
 		history func(l *Ledger)
 		want    string
 	}{
-		"twice":      {func(l *Ledger) { l.Sent(Request{ID: "1", Once: true}); l.Ran("1"); l.Ran("1") }, "ran 2 times"},
+		"twice":      {func(l *Ledger) { l.Sent(Request{ID: "1", AtMostOnce: true}); l.Ran("1"); l.Ran("1") }, "ran 2 times"},
 		"never sent": {func(l *Ledger) { l.Ran("1") }, "no caller sent it"},
 		"a false promise": {func(l *Ledger) {
-			l.Sent(Request{ID: "1", Once: true})
+			l.Sent(Request{ID: "1", AtMostOnce: true})
 			l.Ran("1")
-			l.Answered("1", Answer{Status: 503})
+			l.Answered("1", Response{Status: 503})
 		}, "was refused"},
 		"another's answer": {func(l *Ledger) {
 			l.Sent(Request{ID: "1"})
 			l.Ran("1")
-			l.Answered("1", Answer{Status: 200, Body: "answer to 2", Complete: true})
+			l.Answered("1", Response{Status: 200, Body: "answer to 2", Complete: true})
 		}, "in place of"},
 		"a forged header": {func(l *Ledger) { l.Sent(Request{ID: "1"}); l.Forged("1", "Kv-From") }, "Kv-From"},
-		"a lost answer":   {func(l *Ledger) { l.Sent(Request{ID: "1"}); l.Ran("1"); l.Answered("1", Answer{}) }, "was lost"},
+		"a lost answer":   {func(l *Ledger) { l.Sent(Request{ID: "1"}); l.Ran("1"); l.Answered("1", Response{}) }, "was lost"},
 		"work for nobody": {func(l *Ledger) {
 			l.Sent(Request{ID: "1"})
 			l.Left("1")
 			l.runs["1"] = []time.Time{time.Now().Add(2 * goneSlack)}
-			l.Answered("1", Answer{})
+			l.Answered("1", Response{})
 		}, "after its caller had left"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	l.Sent(Request{ID: "1"})
 	l.Ran("1")
 	l.Left("1")
-	l.Answered("1", Answer{})
+	l.Answered("1", Response{})
 	is.Equal(len(l.Check(time.Second))+len(l.CheckPlanned()), 0)
 }
 
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -38,8 +38,8 @@
 	limitSlack   = 5
 )
 
-// Name notes that an upstream names a limit from now on.
-func (l *Limits) Name(upstream string, perSecond float64) {
+// Advertise notes that an upstream names a limit from now on.
+func (l *Limits) Advertise(upstream string, perSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.by == nil {
@@ -49,15 +49,15 @@
 	l.named++
 }
 
-// End notes that an upstream names none any more.
-func (l *Limits) End(upstream string) {
+// Withdraw notes that an upstream names none any more.
+func (l *Limits) Withdraw(upstream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.by, upstream)
 }
 
-// Told notes that an upstream has named its limit to an instance.
-func (l *Limits) Told(upstream string, instance int) {
+// RecordSent notes that an upstream has named its limit to an instance.
+func (l *Limits) RecordSent(upstream string, instance int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.by[upstream]
@@ -98,8 +98,8 @@
 	return l.broken
 }
 
-// Named returns how often an upstream has named a limit.
-func (l *Limits) Named() int {
+// Count returns how often an upstream has named a limit.
+func (l *Limits) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.named
--- a/internal/soak/places.go
+++ b/internal/soak/places.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Evacuated records when availability zones were evacuated, and what their upstreams got. Safe for
+// Evacuations records when availability zones were evacuated, and what their upstreams got. Safe for
 // concurrent use.
-type Evacuated struct {
+type Evacuations struct {
 	mu     sync.Mutex
 	zones  map[string]*evacuation
 	within time.Duration
@@ -23,13 +23,13 @@
 	since time.Time
 }
 
-// NewEvacuated returns a record of evacuations that must be heeded within a time.
-func NewEvacuated(within time.Duration) *Evacuated {
-	return &Evacuated{zones: map[string]*evacuation{}, within: within}
+// NewEvacuations returns a record of evacuations that must be heeded within a time.
+func NewEvacuations(within time.Duration) *Evacuations {
+	return &Evacuations{zones: map[string]*evacuation{}, within: within}
 }
 
 // Begin records that an evacuation was published, and tells whether it is the only one of its zone.
-func (e *Evacuated) Begin(zone string) (first bool) {
+func (e *Evacuations) Begin(zone string) (first bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	z := e.zones[zone]
@@ -43,15 +43,15 @@
 	return z.count == 1
 }
 
-// Is tells whether a zone is evacuated.
-func (e *Evacuated) Is(zone string) bool {
+// Active tells whether a zone is evacuated.
+func (e *Evacuations) Active(zone string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.zones[zone] != nil && e.zones[zone].count > 0
 }
 
 // End records that one evacuation ends, and tells whether its zone is taken back by that.
-func (e *Evacuated) End(zone string) (last bool) {
+func (e *Evacuations) End(zone string) (last bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.zones[zone].count--
@@ -59,7 +59,7 @@
 }
 
 // Reached records that a request has reached an upstream of a zone.
-func (e *Evacuated) Reached(id, zone string) {
+func (e *Evacuations) Reached(id, zone string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	z := e.zones[zone]
@@ -74,14 +74,14 @@
 }
 
 // Check returns what reached zones too late, and Worst the latest of all that did.
-func (e *Evacuated) Check() []string {
+func (e *Evacuations) Check() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.broken)
 }
 
 // Worst is the latest time after an evacuation at which a request reached the zone.
-func (e *Evacuated) Worst() time.Duration {
+func (e *Evacuations) Worst() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.worst
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -31,9 +31,9 @@
 	Pause Fault = "pause"
 	// Reload tells a process that its settings have changed.
 	Reload Fault = "reload"
-	// SourceAway takes the source away for all; SourceLink harms one process's way to it.
-	SourceAway Fault = "source_away"
-	SourceLink Fault = "source_link"
+	// SourceOutage takes the source away for all; SourceLink harms one process's way to it.
+	SourceOutage Fault = "source_away"
+	SourceLink   Fault = "source_link"
 	// UpstreamLink harms the way to an upstream, PeerLink the way to a process for its
 	// peers.
 	UpstreamLink Fault = "upstream_link"
@@ -49,13 +49,13 @@
 	Stuck Fault = "stuck"
 	// Evacuate has operators empty an availability zone.
 	Evacuate Fault = "evacuate"
-	// Rest lets an upstream turn requests away and ask for rest.
-	Rest Fault = "rest"
-	// SayLeaving lets an upstream say in its answers that it leaves, ahead of its entry; then it is
+	// RequestBackoff lets an upstream turn requests away and ask for rest.
+	RequestBackoff Fault = "rest"
+	// AnnounceLeaving lets an upstream say in its answers that it leaves, ahead of its entry; then it is
 	// replaced.
-	SayLeaving Fault = "say_leaving"
-	// NameLimit lets an upstream name a limit of requests a second in its answers, or none any more.
-	NameLimit Fault = "name_limit"
+	AnnounceLeaving Fault = "say_leaving"
+	// AdvertiseLimit lets an upstream name a limit of requests a second in its answers, or none any more.
+	AdvertiseLimit Fault = "name_limit"
 	// Restore takes the source away and lets it come back from an older copy; what it has lost is written again later.
 	Restore Fault = "restore"
 )
@@ -63,43 +63,43 @@
 // Mix is how often each fault comes, in proportion.
 type Mix map[Fault]int
 
-// Any is a mix of all faults.
-var Any = Mix{
-	Kill: 4, Terminate: 4, Pause: 4, Reload: 2, SourceAway: 3, SourceLink: 3, UpstreamLink: 4, PeerLink: 4, Replace: 2, Revoke: 2, Change: 3, Stuck: 3,
+// AllFaultsMix is a mix of all faults.
+var AllFaultsMix = Mix{
+	Kill: 4, Terminate: 4, Pause: 4, Reload: 2, SourceOutage: 3, SourceLink: 3, UpstreamLink: 4, PeerLink: 4, Replace: 2, Revoke: 2, Change: 3, Stuck: 3,
 }
 
-// Planned is a mix of what operators do without a fault.
-var Planned = Mix{Terminate: 4, Reload: 2, Change: 3}
+// PlannedMix is a mix of what operators do without a fault.
+var PlannedMix = Mix{Terminate: 4, Reload: 2, Change: 3}
 
-// Places is a mix of evacuations and of upstreams that start cold with what takes knowledge of them
-// away, and PlannedPlaces the same without a fault.
+// EvacuationMix is a mix of evacuations and of upstreams that start cold with what takes knowledge of them
+// away, and PlannedEvacuationMix the same without a fault.
 var (
-	Places = Mix{
-		Evacuate: 4, Replace: 4, Kill: 3, Terminate: 3, Pause: 4, SourceAway: 2, SourceLink: 3, PeerLink: 4, Change: 2, Stuck: 2,
+	EvacuationMix = Mix{
+		Evacuate: 4, Replace: 4, Kill: 3, Terminate: 3, Pause: 4, SourceOutage: 2, SourceLink: 3, PeerLink: 4, Change: 2, Stuck: 2,
 	}
-	PlannedPlaces = Mix{Evacuate: 4, Replace: 4, Terminate: 3, Reload: 1, Change: 2}
+	PlannedEvacuationMix = Mix{Evacuate: 4, Replace: 4, Terminate: 3, Reload: 1, Change: 2}
 )
 
-// Crashing is a mix, beside a request that crashes upstreams, of what takes knowledge of it away; under
-// PlannedCrashing nothing fails but what that request ends.
+// CrashMix is a mix, beside a request that crashes upstreams, of what takes knowledge of it away; under
+// PlannedCrashMix nothing fails but what that request ends.
 var (
-	Crashing = Mix{
-		Kill: 3, Terminate: 4, Pause: 3, SourceAway: 2, SourceLink: 2, PeerLink: 4, Change: 2, Replace: 2, Stuck: 2,
+	CrashMix = Mix{
+		Kill: 3, Terminate: 4, Pause: 3, SourceOutage: 2, SourceLink: 2, PeerLink: 4, Change: 2, Replace: 2, Stuck: 2,
 	}
-	PlannedCrashing = Mix{Terminate: 4, Reload: 1, Change: 2}
+	PlannedCrashMix = Mix{Terminate: 4, Reload: 1, Change: 2}
 )
 
-// Saying is a mix of what upstreams say in their answers, while instances are replaced and the source, which
+// NoticeMix is a mix of what upstreams say in their answers, while instances are replaced and the source, which
 // would tell it, is away now and then.
-var Saying = Mix{Rest: 6, SayLeaving: 5, Terminate: 3, Reload: 1, Change: 2, SourceAway: 3}
+var NoticeMix = Mix{RequestBackoff: 6, AnnounceLeaving: 5, Terminate: 3, Reload: 1, Change: 2, SourceOutage: 3}
 
-// Limiting is a mix of limits that upstreams name, while whoever keeps them is killed, paused, cut off or replaced.
-var Limiting = Mix{NameLimit: 8, Kill: 2, Terminate: 3, Pause: 4, PeerLink: 4, Replace: 2, Stuck: 2, Change: 1}
+// LimitMix is a mix of limits that upstreams name, while whoever keeps them is killed, paused, cut off or replaced.
+var LimitMix = Mix{AdvertiseLimit: 8, Kill: 2, Terminate: 3, Pause: 4, PeerLink: 4, Replace: 2, Stuck: 2, Change: 1}
 
-// Restoring is a mix of returns of the source from older copies, while what it publishes changes and whoever reads it
+// RestoreMix is a mix of returns of the source from older copies, while what it publishes changes and whoever reads it
 // is killed, paused, cut off or started.
-var Restoring = Mix{
-	Restore: 6, Change: 4, Revoke: 3, Replace: 3, Evacuate: 2, Kill: 2, Terminate: 2, Pause: 3, SourceLink: 3, SourceAway: 2, PeerLink: 3, Stuck: 2,
+var RestoreMix = Mix{
+	Restore: 6, Change: 4, Revoke: 3, Replace: 3, Evacuate: 2, Kill: 2, Terminate: 2, Pause: 3, SourceLink: 3, SourceOutage: 2, PeerLink: 3, Stuck: 2,
 }
 
 // Event is one fault at a time.
@@ -171,14 +171,14 @@
 	return names[0]
 }
 
-// World brings faults about. Apply must not block for long; undo ends the fault, and is
+// Injector brings faults about. Apply must not block for long; undo ends the fault, and is
 // nil where it ends by itself.
-type World interface {
+type Injector interface {
 	Apply(e Event) (undo func())
 }
 
 // Run brings the events about until all of them are over or ctx ends.
-func Run(ctx context.Context, w World, events []Event) {
+func Run(ctx context.Context, w Injector, events []Event) {
 	started := time.Now()
 	var under sync.WaitGroup
 	for _, e := range events {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -74,8 +74,8 @@
 	p.target = address
 }
 
-// Harm puts a mode in force until the returned function is called.
-func (p *Proxy) Harm(m Mode) (undo func()) {
+// Inject puts a mode in force until the returned function is called.
+func (p *Proxy) Inject(m Mode) (undo func()) {
 	h := &harm{mode: m}
 	p.change(func() { p.harms = append(p.harms, h) })
 	if m == Resets {
--- a/internal/soak/words.go
+++ b/internal/soak/words.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Words are what upstreams said in answers to instances, and what reached them from those instances
+// Notices are what upstreams said in answers to instances, and what reached them from those instances
 // afterwards. Safe for concurrent use.
-type Words struct {
+type Notices struct {
 	// LeaveWithin is how long after it said so requests may still be sent to one that leaves.
 	LeaveWithin time.Duration
 	// StartedAt tells when the process of an instance started: one that did so since has heard nothing.
@@ -35,8 +35,8 @@
 	restMost  = 2
 )
 
-// Leaves records that an upstream told an instance that it leaves.
-func (w *Words) Leaves(upstream string, instance int) {
+// RecordLeaving records that an upstream told an instance that it leaves.
+func (w *Notices) RecordLeaving(upstream string, instance int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.left == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Rests records that an upstream asked an instance for rest.
-func (w *Words) Rests(upstream string, instance int, wanted time.Duration) {
+// RecordBackoff records that an upstream asked an instance for rest.
+func (w *Notices) RecordBackoff(upstream string, instance int, wanted time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.rests == nil {
@@ -63,7 +63,7 @@
 }
 
 // Reached records that a request that its caller sent at a time reached an upstream from an instance.
-func (w *Words) Reached(id, upstream string, instance int, sent time.Time) {
+func (w *Notices) Reached(id, upstream string, instance int, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p, now := pair{upstream, instance}, time.Now()
@@ -79,14 +79,14 @@
 }
 
 // Check returns what was broken.
-func (w *Words) Check() []string {
+func (w *Notices) Check() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.broken
 }
 
-// Said returns how often an upstream told an instance something new.
-func (w *Words) Said() int {
+// Count returns how often an upstream told an instance something new.
+func (w *Notices) Count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.said
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -41,11 +41,11 @@
 	written int
 }
 
-// Read returns the prompt tokens read for it, those in the cache left out.
-func (s *Sequence) Read() int { return s.read }
+// Prefilled returns the prompt tokens read for it, those in the cache left out.
+func (s *Sequence) Prefilled() int { return s.read }
 
-// Written returns the output tokens written so far.
-func (s *Sequence) Written() int { return s.written }
+// Emitted returns the output tokens written so far.
+func (s *Sequence) Emitted() int { return s.written }
 
 // Model is an engine without a clock. Not safe for concurrent use.
 type Model struct {
@@ -57,10 +57,10 @@
 	dropped []uint64
 	onCache func(added, dropped []uint64)
 
-	// PromptRead counts prompt tokens read.
-	PromptRead int
-	// PromptCached counts prompt tokens found in the cache.
-	PromptCached int
+	// PrefilledTokens counts prompt tokens read.
+	PrefilledTokens int
+	// CachedTokens counts prompt tokens found in the cache.
+	CachedTokens int
 }
 
 // NewModel returns an idle engine with an empty cache.
@@ -70,9 +70,9 @@
 	return m
 }
 
-// OnCache registers who is told of the blocks that came into the cache and of
+// OnCacheChange registers who is told of the blocks that came into the cache and of
 // those that were dropped for them.
-func (m *Model) OnCache(f func(added, dropped []uint64)) { m.onCache = f }
+func (m *Model) OnCacheChange(f func(added, dropped []uint64)) { m.onCache = f }
 
 // SetSlow makes every step take so many times longer.
 func (m *Model) SetSlow(factor float64) { m.slow = factor }
@@ -122,7 +122,7 @@
 		s.written++
 		wrote = append(wrote, s)
 	}
-	m.PromptRead += read
+	m.PrefilledTokens += read
 	for _, s := range wrote {
 		if s.written >= s.Output {
 			m.running = without(m.running, s)
@@ -147,7 +147,7 @@
 		s := m.waiting[0]
 		m.waiting = m.waiting[1:]
 		cached := min(m.cache.Cached(s.Chain)*prefix.BlockTokens, s.Prompt-1)
-		m.PromptCached += cached
+		m.CachedTokens += cached
 		s.toRead = s.Prompt - cached
 		m.running = append(m.running, s)
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -27,8 +27,8 @@
 	o.checks = checks
 }
 
-// Taken returns the orders taken so far.
-func (o *Orders) Taken() []orders.Order {
+// Accepted returns the orders taken so far.
+func (o *Orders) Accepted() []orders.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]orders.Order(nil), o.taken...)
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -31,8 +31,8 @@
 type Faults struct {
 	// Refuse answers 503 before anything runs.
 	Refuse bool
-	// CutAfter breaks the connection after so many events of a stream, once.
-	CutAfter int
+	// TruncateAfter breaks the connection after so many events of a stream, once.
+	TruncateAfter int
 	// Garbage answers something that isn't of the protocol.
 	Garbage bool
 	// Hold is received from before each answer begins.
@@ -81,7 +81,7 @@
 		stop:    make(chan struct{}),
 	}
 	events := newEventLog()
-	e.model.OnCache(events.add)
+	e.model.OnCacheChange(events.add)
 	e.mux.Handle("GET /v1/cache-events", events)
 	e.Orders.register(e.mux)
 	e.mux.HandleFunc("POST /v1/completions", e.complete)
@@ -129,11 +129,11 @@
 	return e.cancelled
 }
 
-// PromptRead returns how many prompt tokens were read.
-func (e *Server) PromptRead() int {
+// PrefilledTokens returns how many prompt tokens were read.
+func (e *Server) PrefilledTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.model.PromptRead
+	return e.model.PrefilledTokens
 }
 
 // ServeHTTP implements http.Handler.
@@ -172,7 +172,7 @@
 }
 
 func (r *run) write() {
-	n := r.sequence.Written()
+	n := r.sequence.Emitted()
 	content, _ := json.Marshal(chunk(r, n))
 	_ = r.buffer.Write(context.Background(), fmt.Appendf(nil, "data: %s\n\n", content))
 	if n >= r.sequence.Output {
@@ -384,10 +384,10 @@
 func (e *Server) cutNow(events int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.CutAfter == 0 || events <= e.faults.CutAfter {
+	if e.faults.TruncateAfter == 0 || events <= e.faults.TruncateAfter {
 		return false
 	}
-	e.faults.CutAfter = 0
+	e.faults.TruncateAfter = 0
 	return true
 }
 
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -60,8 +60,8 @@
 	Document *api.Document
 }
 
-// Rig is running daemons and stand-ins.
-type Rig struct {
+// Harness is running daemons and stand-ins.
+type Harness struct {
 	Platform *standinplatform.Service
 	Engines  []*engine.Server
 	// EngineAddresses are where the engines listen, in their order.
@@ -77,9 +77,9 @@
 }
 
 // Start starts everything and waits until the daemons are ready.
-func Start(o Options) (*Rig, error) {
+func Start(o Options) (*Harness, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &Rig{options: o, Platform: standinplatform.New(), Service: service.New(), cancel: cancel}
+	r := &Harness{options: o, Platform: standinplatform.New(), Service: service.New(), cancel: cancel}
 	if err := r.start(ctx); err != nil {
 		r.Close()
 		return nil, err
@@ -87,7 +87,7 @@
 	return r, nil
 }
 
-func (r *Rig) start(ctx context.Context) error {
+func (r *Harness) start(ctx context.Context) error {
 	for _, s := range r.options.Engines {
 		e := engine.NewServer(s)
 		r.Engines = append(r.Engines, e)
@@ -119,7 +119,7 @@
 	return r.waitReady()
 }
 
-func (r *Rig) publish() error {
+func (r *Harness) publish() error {
 	d := r.options.Document
 	if d == nil {
 		d = Document()
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func (r *Rig) startDaemon(ctx context.Context, n int, platformURL string) error {
+func (r *Harness) startDaemon(ctx context.Context, n int, platformURL string) error {
 	s := &settings.Settings{
 		Zone:      Zone,
 		Callers:   settings.Callers{Address: anyPort},
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (r *Rig) serve(h http.Handler) (string, error) {
+func (r *Harness) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return "", fmt.Errorf("a stand-in can't listen on loopback: %w", err)
@@ -175,7 +175,7 @@
 }
 
 // waitReady waits until every daemon has the document and the whole list.
-func (r *Rig) waitReady() error {
+func (r *Harness) waitReady() error {
 	limit := time.Now().Add(readyLimit)
 	for _, d := range r.Daemons {
 		for d.Status().ListVersion == 0 || d.Status().Revision == 0 {
@@ -189,10 +189,10 @@
 }
 
 // URL returns the callers' address of a daemon.
-func (r *Rig) URL(n int) string { return "http://" + r.Daemons[n].CallerAddress() }
+func (r *Harness) URL(n int) string { return "http://" + r.Daemons[n].CallerAddress() }
 
 // Close shuts the daemons down and ends the stand-ins.
-func (r *Rig) Close() {
+func (r *Harness) Close() {
 	r.cancel()
 	r.running.Wait()
 	for _, s := range r.servers {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -29,8 +29,8 @@
 	Hold <-chan struct{}
 	// Break breaks the connection after a call has run, instead of an answer.
 	Break bool
-	// CutBody breaks the connection in the midst of the answer's body.
-	CutBody bool
+	// TruncateBody breaks the connection in the midst of the answer's body.
+	TruncateBody bool
 	// Leaving is said with each answer.
 	Leaving bool
 }
@@ -86,11 +86,11 @@
 		w.Header().Set(upstream.HeaderLeaving, "true")
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	if f.CutBody {
+	if f.TruncateBody {
 		w.Header().Set("Content-Length", fmt.Sprint(len(Answer(string(body)))+1))
 	}
 	_, _ = io.WriteString(w, Answer(string(body)))
-	if f.CutBody {
+	if f.TruncateBody {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -56,11 +56,11 @@
 	}
 }
 
-// Passed returns how many bytes have passed, both ways.
-func (r *Relay) Passed() int64 { return r.passed.Load() }
+// RelayedBytes returns how many bytes have passed, both ways.
+func (r *Relay) RelayedBytes() int64 { return r.passed.Load() }
 
-// Cut lets nothing pass for connections from the source IP; "" stands for all.
-func (r *Relay) Cut(source string) {
+// Partition lets nothing pass for connections from the source IP; "" stands for all.
+func (r *Relay) Partition(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts[source] = true
