--- a/internal/soak/places.go
+++ b/internal/soak/arrivals.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Evacuations records when availability zones were evacuated, and what their upstreams got. Safe for
-// concurrent use.
+// Evacuations records when availability zones were evacuated, and which requests reached their
+// upstreams. Safe for concurrent use.
 type Evacuations struct {
-	mu     sync.Mutex
-	zones  map[string]*evacuation
-	within time.Duration
-	broken []string
-	worst  time.Duration
+	mu         sync.Mutex
+	zones      map[string]*evacuation
+	within     time.Duration
+	violations []string
+	worst      time.Duration
 }
 
-// evacuation counts the evacuations of one zone that overlap.
+// evacuation counts the overlapping evacuations of one zone.
 type evacuation struct {
 	count int
 	since time.Time
 }
 
-// NewEvacuations returns a record of evacuations that must be heeded within a time.
+// NewEvacuations returns a record of evacuations that have to take effect within the given time.
 func NewEvacuations(within time.Duration) *Evacuations {
 	return &Evacuations{zones: map[string]*evacuation{}, within: within}
 }
 
-// Begin records that an evacuation was published, and tells whether it is the only one of its zone.
+// Begin records that an evacuation was published, and reports whether it is the only one of its zone.
 func (e *Evacuations) Begin(zone string) (first bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,14 +43,14 @@
 	return z.count == 1
 }
 
-// Active tells whether a zone is evacuated.
+// Active reports whether a zone is evacuated.
 func (e *Evacuations) Active(zone string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.zones[zone] != nil && e.zones[zone].count > 0
 }
 
-// End records that one evacuation ends, and tells whether its zone is taken back by that.
+// End records that one evacuation ends, and reports whether it was the last one of its zone.
 func (e *Evacuations) End(zone string) (last bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,25 +69,26 @@
 	after := time.Since(z.since)
 	e.worst = max(e.worst, after)
 	if after > e.within {
-		e.broken = append(e.broken, fmt.Sprintf("%s reached zone %s %v after it was evacuated", id, zone, after.Round(time.Millisecond)))
+		e.violations = append(e.violations, fmt.Sprintf("%s reached zone %s %v after it was evacuated", id, zone, after.Round(time.Millisecond)))
 	}
 }
 
-// Check returns what reached zones too late, and Worst the latest of all that did.
+// Check returns a line for each request that reached an evacuated zone too late.
 func (e *Evacuations) Check() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.broken)
+	return slices.Clone(e.violations)
 }
 
-// Worst is the latest time after an evacuation at which a request reached the zone.
+// Worst returns the longest time after the start of an evacuation at which a request reached the zone.
 func (e *Evacuations) Worst() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.worst
 }
 
-// ColdArrivals counts what one upstream gets in each second while it is cold. Safe for concurrent use.
+// ColdArrivals counts the requests that reach one upstream in each second while it is cold. Safe for
+// concurrent use.
 type ColdArrivals struct {
 	mu      sync.Mutex
 	until   time.Time
@@ -95,12 +96,12 @@
 	worst   int
 }
 
-// NewColdArrivals returns the count of an upstream that is cold for a time from now on.
+// NewColdArrivals returns the count for an upstream that is cold for the given time from now on.
 func NewColdArrivals(cold time.Duration) *ColdArrivals {
 	return &ColdArrivals{until: time.Now().Add(cold)}
 }
 
-// Reached records that a request has reached it.
+// Reached records that a request has reached the upstream. It does nothing once the cold time is over.
 func (c *ColdArrivals) Reached() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +113,8 @@
 	c.worst = max(c.worst, len(c.arrived))
 }
 
-// Worst is the most that reached it in any second while it was cold.
+// Worst returns the largest number of requests that reached the upstream in any second while it was
+// cold.
 func (c *ColdArrivals) Worst() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/departures.go
+++ b/internal/soak/departures.go
@@ -7,12 +7,11 @@
 	"time"
 )
 
-// Departures collects which requests reach upstreams that have left. Safe for concurrent
-// use.
+// Departures records which requests reach upstreams that have left. Safe for concurrent use.
 type Departures struct {
 	mu     sync.Mutex
 	left   map[string]time.Time // by upstream
-	late   []arrival            // what reached one that had left
+	late   []arrival            // requests that reached an upstream after it left
 	reason map[string]string    // how it left
 }
 
@@ -22,12 +21,12 @@
 	at                time.Time
 }
 
-// NewDepartures returns one without upstreams that have left.
+// NewDepartures returns an empty record.
 func NewDepartures() *Departures {
 	return &Departures{left: map[string]time.Time{}, reason: map[string]string{}}
 }
 
-// Left records that an upstream's leaving was acknowledged just now, and how it left.
+// Left records that the departure of an upstream has just been acknowledged, and how it left.
 func (d *Departures) Left(upstream, how string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,13 +38,13 @@
 func (d *Departures) Reached(request, upstream string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, gone := d.left[upstream]; gone {
+	if _, left := d.left[upstream]; left {
 		d.late = append(d.late, arrival{request: request, upstream: upstream, at: time.Now()})
 	}
 }
 
-// Check returns a line for each upstream that requests reached later than a bound after it
-// had left. The time for which the machine stood still meanwhile isn't counted.
+// Check returns a line for each upstream that requests reached later than bound after it had left.
+// The time for which the machine was stalled in between isn't counted.
 func (d *Departures) Check(bound time.Duration, stalls *Stalls) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,14 +58,14 @@
 	}
 	var out []string
 	for upstream, after := range late {
-		out = append(out, fmt.Sprintf("%d requests reached %s (%s) over %v after it had left, from %v to %v after",
+		out = append(out, fmt.Sprintf("%d requests reached %s (%s) more than %v after it had left, between %v and %v after",
 			len(after), upstream, d.reason[upstream], bound, slices.Min(after).Round(time.Millisecond), slices.Max(after).Round(time.Millisecond)))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Latest returns how long after its leaving the last request reached any upstream.
+// Latest returns the longest time after its departure at which a request reached an upstream.
 func (d *Departures) Latest() (latest time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -9,49 +9,50 @@
 	"time"
 )
 
-// Request is what a caller sent.
+// Request is a request as its caller sent it.
 type Request struct {
 	ID string
-	// AtMostOnce: it may run at most once.
+	// AtMostOnce is set where the request may run at most once.
 	AtMostOnce bool
-	// Revocable: it came under a key that is taken away and given back.
+	// Revocable is set where the request carries an API key that is revoked and restored.
 	Revocable bool
-	// Events of a stream that it asks for; 0 for an answer that is no stream.
+	// Events is the number of events of the requested stream; 0 for a response that isn't streamed.
 	Events int
 	Sent   time.Time
 	// Left is when its caller closed the connection; zero if it didn't.
 	Left time.Time
 }
 
-// Response is what a caller got.
+// Response is a response as its caller received it.
 type Response struct {
-	// Status is 0 where no answer came.
+	// Status is 0 where no response arrived.
 	Status int
 	Body   string
-	// Complete tells whether the body ended as it should.
+	// Complete reports whether the body ended in the regular way.
 	Complete bool
 	Received time.Time
 }
 
-// Ledger collects what was seen. Safe for concurrent use.
+// Ledger records the requests, their executions and their responses, as callers and upstreams saw
+// them. Safe for concurrent use.
 type Ledger struct {
-	mu       sync.Mutex
-	requests map[string]Request
-	answers  map[string]Response
-	runs     map[string][]time.Time
-	revoked  []span
-	forged   []string
+	mu        sync.Mutex
+	requests  map[string]Request
+	responses map[string]Response
+	runs      map[string][]time.Time
+	revoked   []span
+	forged    []string
 }
 
-// span is a time within which keys were taken away; the end is zero while it lasts.
+// span is a time range, such as one in which keys were revoked; to is zero while it lasts.
 type span struct{ from, to time.Time }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{requests: map[string]Request{}, answers: map[string]Response{}, runs: map[string][]time.Time{}}
+	return &Ledger{requests: map[string]Request{}, responses: map[string]Response{}, runs: map[string][]time.Time{}}
 }
 
-// Sent records a request before it is sent.
+// Sent records a request just before it is sent, with the current time.
 func (l *Ledger) Sent(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,15 +67,15 @@
 	return l.requests[id].Sent
 }
 
-// Ran records that an upstream has begun to run a request.
+// Ran records that an upstream has started to run a request.
 func (l *Ledger) Ran(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id] = append(l.runs[id], time.Now())
 }
 
-// Forged records that an upstream got a header that only the system may set, as a caller
-// had sent it.
+// Forged records that an upstream received a header that only the system may set with the value
+// that a caller had sent.
 func (l *Ledger) Forged(id, header string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,30 +91,30 @@
 	l.requests[id] = r
 }
 
-// Answered records what a caller got.
+// Answered records the response that a caller received.
 func (l *Ledger) Answered(id string, a Response) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a.Received = time.Now()
-	l.answers[id] = a
+	l.responses[id] = a
 }
 
-// Revoked records that keys were taken away, and Restored that they are back. Restored is
-// called before it is published, Revoked after it was.
+// Revoked records that keys were revoked. It is called after the revocation was published.
 func (l *Ledger) Revoked() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revoked = append(l.revoked, span{from: time.Now()})
 }
 
-// Restored ends what Revoked began.
+// Restored records that the revoked keys are valid again. It is called before that is published.
 func (l *Ledger) Restored() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revoked[len(l.revoked)-1].to = time.Now()
 }
 
-// ExpectedBody is the only right body of a request's answer, a stream's whole.
+// ExpectedBody returns the only correct body of the response to a request; for a stream all its
+// events.
 func ExpectedBody(r Request) string {
 	if r.Events == 0 {
 		return "answer to " + r.ID
@@ -125,14 +126,14 @@
 	return out.String()
 }
 
-// StreamEvent is one event of a stream, counted from 1.
+// StreamEvent returns event n of the stream of a request, counted from 1.
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
-// refusals are the statuses that promise that a request hasn't run and never will.
+// refusals are the statuses that guarantee that a request hasn't run and never will.
 var refusals = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-// Check returns every broken promise. Lease is how long after their revocation keys may
-// still be accepted.
+// Check returns a line for each violated guarantee. Lease is how long after their revocation keys
+// may still be accepted.
 func (l *Ledger) Check(lease time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,47 +144,47 @@
 		case !known:
 			out = append(out, id+" ran, and no caller sent it")
 		case r.AtMostOnce && len(runs) > 1:
-			out = append(out, fmt.Sprintf("%s may run once and ran %d times", id, len(runs)))
+			out = append(out, fmt.Sprintf("%s may run at most once and ran %d times", id, len(runs)))
 		case r.Revocable && l.wasRevoked(r.Sent.Add(-lease), r.Sent):
-			out = append(out, fmt.Sprintf("%s ran, sent over %v after its key was taken away", id, lease))
+			out = append(out, fmt.Sprintf("%s ran although it was sent more than %v after its key was revoked", id, lease))
 		}
 	}
-	for id, a := range l.answers {
-		if broken := checkAnswer(l.requests[id], a, len(l.runs[id])); broken != "" {
-			out = append(out, id+" "+broken)
+	for id, a := range l.responses {
+		if violation := checkResponse(l.requests[id], a, len(l.runs[id])); violation != "" {
+			out = append(out, id+" "+violation)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// wasRevoked tells whether keys were away for all of a time.
+// wasRevoked reports whether keys were revoked during the whole range between the two times.
 func (l *Ledger) wasRevoked(from, to time.Time) bool {
 	return slices.ContainsFunc(l.revoked, func(s span) bool {
 		return !s.from.After(from) && (s.to.IsZero() || !s.to.Before(to))
 	})
 }
 
-func checkAnswer(r Request, a Response, runs int) string {
+func checkResponse(r Request, a Response, runs int) string {
 	want := ExpectedBody(r)
 	switch {
 	case a.Status == http.StatusOK && a.Complete && a.Body != want:
-		return fmt.Sprintf("got %q, complete, in place of %q", a.Body, want)
+		return fmt.Sprintf("got the complete response %q in place of %q", a.Body, want)
 	case a.Status == http.StatusOK && !strings.HasPrefix(want, a.Body):
-		return fmt.Sprintf("got %q, cut, of %q", a.Body, want)
+		return fmt.Sprintf("got the truncated response %q, which isn't a prefix of %q", a.Body, want)
 	case a.Status == http.StatusOK && runs == 0:
-		return "was answered and never ran"
+		return "got a response and never ran"
 	case r.AtMostOnce && slices.Contains(refusals, a.Status) && runs > 0:
 		return fmt.Sprintf("was refused with %d and ran", a.Status)
 	}
 	return ""
 }
 
-// CountResponses counts the answers of a kind.
+// CountResponses returns the number of responses for which is returns true.
 func (l *Ledger) CountResponses(is func(Response) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, a := range l.answers {
+	for _, a := range l.responses {
 		if is(a) {
 			n++
 		}
@@ -191,36 +192,37 @@
 	return n
 }
 
-// Summary words how many requests were sent, ran and got which statuses.
+// Summary describes how many requests were sent and ran, and the statuses of their responses.
 func (l *Ledger) Summary() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	statuses := map[int]int{}
-	for _, a := range l.answers {
+	for _, a := range l.responses {
 		statuses[a.Status]++
 	}
-	return fmt.Sprintf("%d sent, %d ran, answers by status: %v", len(l.requests), len(l.runs), statuses)
+	return fmt.Sprintf("%d sent, %d ran, responses by status: %v", len(l.requests), len(l.runs), statuses)
 }
 
-// goneSlack is how long after its caller left a request may still reach an upstream.
-const goneSlack = 500 * time.Millisecond
+// callerLeftSlack is how long after its caller left a request may still reach an upstream.
+const callerLeftSlack = 500 * time.Millisecond
 
-// CheckPlanned returns what no planned work excuses: requests that ran and whose callers
-// stayed and got no whole answer, and requests that ran long after their callers had left.
+// CheckPlanned returns a line for each violation that planned work can't excuse: a request that ran
+// whose caller stayed and received no complete response, and one that started more than
+// callerLeftSlack after its caller had left.
 func (l *Ledger) CheckPlanned() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for id, a := range l.answers {
+	for id, a := range l.responses {
 		r := l.requests[id]
 		if !r.Left.IsZero() {
-			if runs := l.runs[id]; len(runs) > 0 && runs[len(runs)-1].After(r.Left.Add(goneSlack)) {
+			if runs := l.runs[id]; len(runs) > 0 && runs[len(runs)-1].After(r.Left.Add(callerLeftSlack)) {
 				out = append(out, fmt.Sprintf("%s ran %v after its caller had left", id, runs[len(runs)-1].Sub(r.Left)))
 			}
 			continue
 		}
 		if len(l.runs[id]) > 0 && (a.Status == 0 || !a.Complete) {
-			out = append(out, fmt.Sprintf("%s ran and was lost: status %d, complete %v", id, a.Status, a.Complete))
+			out = append(out, fmt.Sprintf("%s ran and its response was lost: status %d, complete %v", id, a.Status, a.Complete))
 		}
 	}
 	slices.Sort(out)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -6,66 +6,69 @@
 	"time"
 )
 
-// Limits are the requests a second that upstreams name in answers to instances, and what reached them afterwards.
-// Safe for concurrent use.
+// Limits records the rates, in requests per second, that upstreams advertise in their responses to
+// instances, and how many requests reach those upstreams afterwards. Safe for concurrent use.
 type Limits struct {
-	// StartedAt tells when the process of an instance started: one that did so since has heard nothing.
+	// StartedAt returns when the process of an instance started. A process that started after a
+	// limit was sent hasn't received it.
 	StartedAt func(instance int) time.Time
 
-	mu     sync.Mutex
-	by     map[string]*limited
-	broken []string
-	named  int
+	mu         sync.Mutex
+	limits     map[string]*advertisedLimit // by upstream
+	violations []string
+	count      int
 }
 
-// limited is one upstream with a limit.
-type limited struct {
+// advertisedLimit is the limit of one upstream.
+type advertisedLimit struct {
 	perSecond float64
 	since     time.Time
-	told      map[int]time.Time // by instance
-	reached   []time.Time       // from instances that were told, lately
+	sent      map[int]time.Time // by instance
+	reached   []time.Time       // within limitWindow, from instances to which the limit was sent
 	reported  bool
 }
 
 const (
-	// limitSettles is how long after an upstream first named its limit what reaches it counts, limitKnown how long
-	// after an instance was told, and limitWindow the time in which it counts together.
-	limitSettles = time.Second
-	limitKnown   = 500 * time.Millisecond
-	limitWindow  = 4 * time.Second
-	// limitOverage and limitSlack bound that: so many times what the limit allows, and so many requests more.
+	// limitSettleTime is how long after an upstream first advertises its limit arrivals begin to
+	// count, limitPropagation how long after the limit was sent to an instance its requests do, and
+	// limitWindow the time over which arrivals are counted.
+	limitSettleTime  = time.Second
+	limitPropagation = 500 * time.Millisecond
+	limitWindow      = 4 * time.Second
+	// limitOverage and limitSlack bound the arrivals within limitWindow: limitOverage times what the
+	// limit allows, and limitSlack requests more.
 	limitOverage = 1.5
 	limitSlack   = 5
 )
 
-// Advertise notes that an upstream names a limit from now on.
+// Advertise records that an upstream advertises a limit from now on.
 func (l *Limits) Advertise(upstream string, perSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.by == nil {
-		l.by = map[string]*limited{}
+	if l.limits == nil {
+		l.limits = map[string]*advertisedLimit{}
 	}
-	l.by[upstream] = &limited{perSecond: perSecond, since: time.Now(), told: map[int]time.Time{}}
-	l.named++
+	l.limits[upstream] = &advertisedLimit{perSecond: perSecond, since: time.Now(), sent: map[int]time.Time{}}
+	l.count++
 }
 
-// Withdraw notes that an upstream names none any more.
+// Withdraw records that an upstream no longer advertises a limit.
 func (l *Limits) Withdraw(upstream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.by, upstream)
+	delete(l.limits, upstream)
 }
 
-// RecordSent notes that an upstream has named its limit to an instance.
+// RecordSent records that an upstream has sent its limit to an instance.
 func (l *Limits) RecordSent(upstream string, instance int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.by[upstream]
+	u := l.limits[upstream]
 	if u == nil {
 		return
 	}
-	if at, known := u.told[instance]; !known || at.Before(l.StartedAt(instance)) {
-		u.told[instance] = time.Now()
+	if at, known := u.sent[instance]; !known || at.Before(l.StartedAt(instance)) {
+		u.sent[instance] = time.Now()
 	}
 }
 
@@ -73,34 +76,34 @@
 func (l *Limits) Reached(upstream string, instance int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u, now := l.by[upstream], time.Now()
-	if u == nil || now.Sub(u.since) < limitSettles {
+	u, now := l.limits[upstream], time.Now()
+	if u == nil || now.Sub(u.since) < limitSettleTime {
 		return
 	}
-	told, known := u.told[instance]
-	if !known || now.Sub(told) < limitKnown || told.Before(l.StartedAt(instance)) {
+	sent, known := u.sent[instance]
+	if !known || now.Sub(sent) < limitPropagation || sent.Before(l.StartedAt(instance)) {
 		return
 	}
 	for len(u.reached) > 0 && now.Sub(u.reached[0]) > limitWindow {
 		u.reached = u.reached[1:]
 	}
 	u.reached = append(u.reached, now)
-	if most := int(limitOverage*u.perSecond*limitWindow.Seconds()) + limitSlack; len(u.reached) > most && !u.reported {
+	if allowed := int(limitOverage*u.perSecond*limitWindow.Seconds()) + limitSlack; len(u.reached) > allowed && !u.reported {
 		u.reported = true
-		l.broken = append(l.broken, fmt.Sprintf("%s, which takes %.1f requests a second, got %d in %v; %d are allowed", upstream, u.perSecond, len(u.reached), limitWindow, most))
+		l.violations = append(l.violations, fmt.Sprintf("%s, which advertises %.1f requests per second, received %d in %v; %d are allowed", upstream, u.perSecond, len(u.reached), limitWindow, allowed))
 	}
 }
 
-// Check returns what was broken.
+// Check returns a line for each violation.
 func (l *Limits) Check() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.broken
+	return l.violations
 }
 
-// Count returns how often an upstream has named a limit.
+// Count returns how often an upstream has begun to advertise a limit.
 func (l *Limits) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.named
+	return l.count
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,9 +1,9 @@
-// Package soak runs real processes under random faults and checks, from what callers and
-// upstreams saw, what the system promises.
+// Package soak runs real processes under random faults and checks the guarantees of the system from
+// what callers and upstreams saw.
 //
-// A Plan is drawn from a seed: faults that come in series and overlap. A World brings
-// them about, by signals and by proxies between the processes. A Ledger takes what was
-// seen and names each broken promise.
+// NewPlan draws a list of events from a seed: faults that come in bursts and overlap. An Injector
+// applies them, by signals and by proxies between the processes. A Ledger records the requests and
+// responses and reports each violated guarantee.
 package soak
 
 import (
@@ -18,61 +18,64 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// Fault is one kind of trouble.
+// Fault is a kind of fault.
 type Fault string
 
 // The faults.
 const (
-	// Kill ends a process at once, Terminate by the signal for a planned end; both start
-	// it again afterwards.
+	// Kill ends a process at once, Terminate by the signal for a planned end. Both restart it
+	// afterwards.
 	Kill      Fault = "kill"
 	Terminate Fault = "terminate"
-	// Pause stops a process and lets it go on.
+	// Pause stops a process and resumes it later.
 	Pause Fault = "pause"
-	// Reload tells a process that its settings have changed.
+	// Reload signals a process that its settings have changed.
 	Reload Fault = "reload"
-	// SourceOutage takes the source away for all; SourceLink harms one process's way to it.
+	// SourceOutage makes the source unavailable to all instances, SourceLink disturbs the network
+	// path from one process to it.
 	SourceOutage Fault = "source_away"
 	SourceLink   Fault = "source_link"
-	// UpstreamLink harms the way to an upstream, PeerLink the way to a process for its
-	// peers.
+	// UpstreamLink disturbs the network path to an upstream, PeerLink the path from the peers of a
+	// process to it.
 	UpstreamLink Fault = "upstream_link"
 	PeerLink     Fault = "peer_link"
 	// Replace ends an upstream and gives its address to another one.
 	Replace Fault = "replace"
-	// Revoke takes an organisation's keys away.
+	// Revoke revokes an organisation's API keys.
 	Revoke Fault = "revoke"
 	// Change publishes a new version of the configuration.
 	Change Fault = "change"
-	// Stuck makes the connections that are open now, to the source, to an upstream or to a
-	// process for its peers, go silent for good; new ones work.
+	// Stuck makes the connections that are open now, to the source, to an upstream or from the peers
+	// of a process, forward nothing for the rest of their life. New connections work.
 	Stuck Fault = "stuck"
-	// Evacuate has operators empty an availability zone.
+	// Evacuate evacuates an availability zone, as operators do.
 	Evacuate Fault = "evacuate"
-	// RequestBackoff lets an upstream turn requests away and ask for rest.
+	// RequestBackoff makes an upstream refuse requests and request a backoff.
 	RequestBackoff Fault = "rest"
-	// AnnounceLeaving lets an upstream say in its answers that it leaves, ahead of its entry; then it is
-	// replaced.
+	// AnnounceLeaving makes an upstream announce in its responses that it leaves, before its entry
+	// says so. It is then replaced.
 	AnnounceLeaving Fault = "say_leaving"
-	// AdvertiseLimit lets an upstream name a limit of requests a second in its answers, or none any more.
+	// AdvertiseLimit makes an upstream advertise a limit of requests per second in its responses, or
+	// withdraw it.
 	AdvertiseLimit Fault = "name_limit"
-	// Restore takes the source away and lets it come back from an older copy; what it has lost is written again later.
+	// Restore makes the source unavailable and restores it from an older copy. What it lost is written
+	// again later.
 	Restore Fault = "restore"
 )
 
-// Mix is how often each fault comes, in proportion.
+// Mix holds the relative frequency of each fault.
 type Mix map[Fault]int
 
-// AllFaultsMix is a mix of all faults.
+// AllFaultsMix is a mix of all faults that don't belong to one of the special mixes below.
 var AllFaultsMix = Mix{
 	Kill: 4, Terminate: 4, Pause: 4, Reload: 2, SourceOutage: 3, SourceLink: 3, UpstreamLink: 4, PeerLink: 4, Replace: 2, Revoke: 2, Change: 3, Stuck: 3,
 }
 
-// PlannedMix is a mix of what operators do without a fault.
+// PlannedMix is a mix of the planned work of operators, without a fault.
 var PlannedMix = Mix{Terminate: 4, Reload: 2, Change: 3}
 
-// EvacuationMix is a mix of evacuations and of upstreams that start cold with what takes knowledge of them
-// away, and PlannedEvacuationMix the same without a fault.
+// EvacuationMix is a mix of evacuations and of cold starts of upstreams, together with faults in which
+// instances lose what they know of them. PlannedEvacuationMix is the same without a fault.
 var (
 	EvacuationMix = Mix{
 		Evacuate: 4, Replace: 4, Kill: 3, Terminate: 3, Pause: 4, SourceOutage: 2, SourceLink: 3, PeerLink: 4, Change: 2, Stuck: 2,
@@ -80,8 +83,9 @@
 	PlannedEvacuationMix = Mix{Evacuate: 4, Replace: 4, Terminate: 3, Reload: 1, Change: 2}
 )
 
-// CrashMix is a mix, beside a request that crashes upstreams, of what takes knowledge of it away; under
-// PlannedCrashMix nothing fails but what that request ends.
+// CrashMix accompanies a request that crashes upstreams, with faults in which instances lose what they
+// know of its crashes. With PlannedCrashMix nothing fails except the upstreams that the request
+// crashes.
 var (
 	CrashMix = Mix{
 		Kill: 3, Terminate: 4, Pause: 3, SourceOutage: 2, SourceLink: 2, PeerLink: 4, Change: 2, Replace: 2, Stuck: 2,
@@ -89,71 +93,74 @@
 	PlannedCrashMix = Mix{Terminate: 4, Reload: 1, Change: 2}
 )
 
-// NoticeMix is a mix of what upstreams say in their answers, while instances are replaced and the source, which
-// would tell it, is away now and then.
+// NoticeMix is a mix of notices that upstreams send in their responses, while instances are replaced
+// and the source, which would publish the same, is unavailable now and then.
 var NoticeMix = Mix{RequestBackoff: 6, AnnounceLeaving: 5, Terminate: 3, Reload: 1, Change: 2, SourceOutage: 3}
 
-// LimitMix is a mix of limits that upstreams name, while whoever keeps them is killed, paused, cut off or replaced.
+// LimitMix is a mix of limits that upstreams advertise, while the instances that enforce them are
+// killed, paused, partitioned or replaced.
 var LimitMix = Mix{AdvertiseLimit: 8, Kill: 2, Terminate: 3, Pause: 4, PeerLink: 4, Replace: 2, Stuck: 2, Change: 1}
 
-// RestoreMix is a mix of returns of the source from older copies, while what it publishes changes and whoever reads it
-// is killed, paused, cut off or started.
+// RestoreMix is a mix of restores of the source from older copies, while what it publishes changes and
+// the instances that read it are killed, paused, partitioned or started.
 var RestoreMix = Mix{
 	Restore: 6, Change: 4, Revoke: 3, Replace: 3, Evacuate: 2, Kill: 2, Terminate: 2, Pause: 3, SourceLink: 3, SourceOutage: 2, PeerLink: 3, Stuck: 2,
 }
 
-// Event is one fault at a time.
+// Event is one fault at one time.
 type Event struct {
 	At  time.Duration
 	For time.Duration
 	Fault
-	// Target numbers what is hit, Mode how a link is harmed or a source is away; both
-	// are to be taken modulo the number that there is.
+	// Target selects what is hit, and Mode how a link is disturbed or a source is unavailable. The
+	// injector takes both modulo the number of choices.
 	Target int
 	Mode   int
 }
 
-// String words an event, for logs.
+// String describes an event, for logs.
 func (e Event) String() string {
 	return fmt.Sprintf("%v for %v: %s target %d mode %d", e.At.Round(time.Millisecond), e.For.Round(time.Millisecond), e.Fault, e.Target, e.Mode)
 }
 
 const (
-	// meanPause is the mean time between two events, or the first events of two series.
-	meanPause = 500 * time.Millisecond
-	// seriesShare is the part of the events that come as a series, and seriesPause the
-	// longest time between two of it.
-	seriesShare = 0.3
-	seriesPause = 80 * time.Millisecond
-	mostOfOne   = 4
-	// shortest and longest bound how long a fault lasts.
-	shortest = 50 * time.Millisecond
-	longest  = 2500 * time.Millisecond
-	// targets is the range of Target and Mode.
-	targets = 1 << 10
+	// meanInterval is the mean time between two events, or between the first events of two bursts.
+	meanInterval = 500 * time.Millisecond
+	// burstShare is the share of the events that come as a burst of the same fault, maxBurstInterval
+	// the longest time between two events of a burst, and maxBurstEvents their largest number.
+	burstShare       = 0.3
+	maxBurstInterval = 80 * time.Millisecond
+	maxBurstEvents   = 4
+	// minDuration and maxDuration bound how long a fault lasts.
+	minDuration = 50 * time.Millisecond
+	maxDuration = 2500 * time.Millisecond
+	// targetRange is the exclusive upper bound of Target and Mode.
+	targetRange = 1 << 10
 )
 
-// NewPlan draws the events of a seed from a mix, in the order of their times.
+// NewPlan draws the events of a plan of the given length from a mix, in the order of their times. The
+// same seed gives the same plan.
 func NewPlan(seed uint64, length time.Duration, mix Mix) []Event {
 	r := rand.New(rand.NewPCG(seed, seed))
 	var out []Event
-	for at := time.Duration(0); at < length; at += time.Duration(r.ExpFloat64() * float64(meanPause)) {
+	for at := time.Duration(0); at < length; at += time.Duration(r.ExpFloat64() * float64(meanInterval)) {
 		e := Event{Fault: mix.draw(r)}
 		n := 1
-		if r.Float64() < seriesShare {
-			n = 2 + r.IntN(mostOfOne-1)
+		if r.Float64() < burstShare {
+			n = 2 + r.IntN(maxBurstEvents-1)
 		}
 		for start := at; n > 0; n-- {
-			e.At, e.Target, e.Mode = start, r.IntN(targets), r.IntN(targets)
-			e.For = shortest + time.Duration(r.Int64N(int64(longest-shortest)))
+			e.At, e.Target, e.Mode = start, r.IntN(targetRange), r.IntN(targetRange)
+			e.For = minDuration + time.Duration(r.Int64N(int64(maxDuration-minDuration)))
 			out = append(out, e)
-			start += time.Duration(r.Int64N(int64(seriesPause)))
+			start += time.Duration(r.Int64N(int64(maxBurstInterval)))
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
+// draw returns a random fault of the mix. It sorts the faults, so that a seed decides the result.
 func (m Mix) draw(r *rand.Rand) Fault {
 	names := make([]Fault, 0, len(m))
 	total := 0
@@ -171,16 +178,16 @@
 	return names[0]
 }
 
-// Injector brings faults about. Apply must not block for long; undo ends the fault, and is
-// nil where it ends by itself.
+// Injector applies faults. Apply must return quickly; undo ends the fault, and is nil where the fault
+// ends on its own.
 type Injector interface {
 	Apply(e Event) (undo func())
 }
 
-// Run brings the events about until all of them are over or ctx ends.
+// Run applies the events at their times. It blocks until all of them are over or ctx is done.
 func Run(ctx context.Context, w Injector, events []Event) {
 	started := time.Now()
-	var under sync.WaitGroup
+	var active sync.WaitGroup
 	for _, e := range events {
 		if !wait.For(ctx, e.At-time.Since(started)) {
 			break
@@ -189,10 +196,10 @@
 		if undo == nil {
 			continue
 		}
-		under.Go(func() {
+		active.Go(func() {
 			wait.For(ctx, e.For)
 			undo()
 		})
 	}
-	under.Wait()
+	active.Wait()
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Process is a program that is started again whenever it ends, until Stop. Only the
-// process that it has started itself is ever signalled. Safe for concurrent use.
+// Process is a program that is restarted whenever it ends, until Stop. Signals go only to the
+// process that it started itself. Safe for concurrent use.
 type Process struct {
 	command []string
 	log     io.Writer
@@ -23,7 +23,7 @@
 	stopped bool
 }
 
-// StartProcess starts a program. Its output goes to log.
+// StartProcess starts a program. Its standard output and standard error go to log.
 func StartProcess(log io.Writer, command ...string) (*Process, error) {
 	p := &Process{command: command, log: log}
 	p.mu.Lock()
@@ -36,7 +36,7 @@
 	c := exec.Command(p.command[0], p.command[1:]...)
 	c.Stdout, c.Stderr = p.log, p.log
 	if err := c.Start(); err != nil {
-		return fmt.Errorf("starting %s: %w", p.command[0], err)
+		return fmt.Errorf("start %s: %w", p.command[0], err)
 	}
 	p.running = c
 	p.started = time.Now()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// reap waits for the end of a process and starts the next one.
+// reap waits until a process has ended and starts the next one, unless Stop was called.
 func (p *Process) reap(c *exec.Cmd, ended chan struct{}) {
 	err := c.Wait()
 	fmt.Fprintf(p.log, "soak: process %d ended: %v\n", c.Process.Pid, err)
@@ -60,25 +60,25 @@
 	}
 }
 
-// StartedAt returns when the process started that runs now.
+// StartedAt returns the start time of the current process.
 func (p *Process) StartedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.started
 }
 
-// Signal sends a signal to the process that runs now.
+// Signal sends a signal to the current process. It does nothing if that has ended.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
 	case <-p.ended:
 	default:
-		_ = p.running.Process.Signal(s) // one that has just ended needs none
+		_ = p.running.Process.Signal(s) // fails if the process has just ended
 	}
 }
 
-// Stop ends the process for good, at once, and waits for its end.
+// Stop kills the process without restarting it, and blocks until it has ended.
 func (p *Process) Stop() {
 	p.mu.Lock()
 	p.stopped = true
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// Mode is how a proxy harms what passes through it.
+// Mode is the network fault that a proxy injects into its connections.
 type Mode int
 
 // The modes.
 const (
-	// Pass harms nothing.
+	// Pass forwards everything; no fault.
 	Pass Mode = iota
-	// Slow delays each piece in each direction.
+	// Slow delays each chunk in both directions.
 	Slow
-	// Resets ends each connection with a reset, new ones too.
+	// Resets closes each connection with a TCP reset, also new ones.
 	Resets
-	// Silent passes nothing on.
+	// Silent forwards nothing and keeps the connections open.
 	Silent
-	// OneWay passes on what callers send and holds what comes back.
+	// OneWay forwards what callers send and holds back what is sent to them.
 	OneWay
-	modes // their number
+	modes // the number of modes
 )
 
-// ModeOf maps a number to one of the harmful modes.
+// ModeOf maps a number to one of the modes other than Pass.
 func ModeOf(n int) Mode { return Slow + Mode(n)%(modes-Slow) }
 
 const (
-	// slowBy is the delay of each piece.
-	slowBy = 60 * time.Millisecond
-	// piece is the size of the pieces that are passed on.
-	piece = 16 << 10
-	// dialTimeout bounds the making of the second half of a connection.
+	// slowDelay is the delay of each chunk in mode Slow.
+	slowDelay = 60 * time.Millisecond
+	// chunkBytes is the largest chunk that is forwarded at once.
+	chunkBytes = 16 << 10
+	// dialTimeout bounds the dial of the target.
 	dialTimeout = time.Second
 )
 
-// Proxy passes connections on to a target on loopback. Safe for concurrent use.
+// Proxy forwards TCP connections to a target on loopback. Safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 
 	mu      sync.Mutex
 	target  string
-	harms   []*harm       // those in force; the last one counts
-	changed chan struct{} // closed at each change
+	faults  []*linkFault  // active faults; the last one applies
+	changed chan struct{} // closed and replaced at each change
 	conns   map[*net.TCPConn]struct{}
-	stuck   map[*net.TCPConn]struct{} // those that are silent for good
+	stuck   map[*net.TCPConn]struct{} // connections that forward nothing until the proxy is closed
 	closed  bool
 }
 
-type harm struct{ mode Mode }
+type linkFault struct{ mode Mode }
 
-// NewProxy returns a proxy that listens on loopback. Close ends it.
+// NewProxy returns a proxy that listens on a free port of loopback until Close.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,28 +64,28 @@
 	return p, nil
 }
 
-// Address returns where it listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections go.
+// SetTarget sets the address to which new connections are forwarded.
 func (p *Proxy) SetTarget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = address
 }
 
-// Inject puts a mode in force until the returned function is called.
+// Inject applies a mode until the returned function is called. The mode injected last applies.
 func (p *Proxy) Inject(m Mode) (undo func()) {
-	h := &harm{mode: m}
-	p.change(func() { p.harms = append(p.harms, h) })
+	f := &linkFault{mode: m}
+	p.change(func() { p.faults = append(p.faults, f) })
 	if m == Resets {
 		p.resetAll()
 	}
 	return func() {
 		p.change(func() {
-			for i, other := range p.harms {
-				if other == h {
-					p.harms = append(p.harms[:i:i], p.harms[i+1:]...)
+			for i, other := range p.faults {
+				if other == f {
+					p.faults = append(p.faults[:i:i], p.faults[i+1:]...)
 					return
 				}
 			}
@@ -93,7 +93,8 @@
 	}
 }
 
-// Silence makes all connections that are open now silent for good, without a reset.
+// Silence stops forwarding on all connections that are open now, without a reset, until the proxy is
+// closed.
 func (p *Proxy) Silence() {
 	p.change(func() {
 		for c := range p.conns {
@@ -102,13 +103,14 @@
 	})
 }
 
-// Close ends the proxy and resets its connections.
+// Close stops listening and resets all connections.
 func (p *Proxy) Close() {
-	_ = p.listener.Close() // nothing is accepted any more either way
+	_ = p.listener.Close() // no connection is accepted any more, also if it fails
 	p.change(func() { p.closed = true })
 	p.resetAll()
 }
 
+// change runs f with the lock held, and wakes all goroutines that wait for a change.
 func (p *Proxy) change(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +129,7 @@
 }
 
 func reset(c *net.TCPConn) {
-	_ = c.SetLinger(0) // then closing resets; a connection that is gone needs none
+	_ = c.SetLinger(0) // makes Close send a reset; fails if the connection is closed already
 	_ = c.Close()
 }
 
@@ -178,19 +180,19 @@
 func (p *Proxy) state() (mode Mode, changed <-chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.harms) > 0 {
-		mode = p.harms[len(p.harms)-1].mode
+	if len(p.faults) > 0 {
+		mode = p.faults[len(p.faults)-1].mode
 	}
 	return mode, p.changed, p.closed
 }
 
-// pump passes bytes on in one direction until either end is over.
+// pump forwards bytes in one direction until either side closes.
 func (p *Proxy) pump(to, from *net.TCPConn, forward bool) {
-	buffer := make([]byte, piece)
+	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
 		p.hold(from, forward)
-		if wasReset(from) { // what a path holds up is lost when its sender resets
+		if wasReset(from) { // data that was held back is lost when its sender resets
 			p.end(to, from)
 			return
 		}
@@ -202,8 +204,8 @@
 		if err == nil {
 			continue
 		}
-		if err == io.EOF { //nolint:errorlint // net returns it bare
-			_ = to.CloseWrite() // the other direction may go on
+		if err == io.EOF { //nolint:errorlint // net returns io.EOF unwrapped
+			_ = to.CloseWrite() // the other direction stays open
 			return
 		}
 		p.end(to, from)
@@ -211,11 +213,11 @@
 	}
 }
 
-// wasReset tells whether a connection was reset by the other side.
+// wasReset reports whether a connection was reset by the other side.
 func wasReset(c *net.TCPConn) (reset bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return true // it is closed
+		return true // closed already
 	}
 	err = raw.Control(func(fd uintptr) {
 		pending, failed := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
@@ -224,14 +226,14 @@
 	return reset || err != nil
 }
 
-// Open returns how many connections are open, two for each that passes.
+// Open returns the number of open connections, two for each one that is forwarded.
 func (p *Proxy) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// hold blocks for as long as a piece of a connection may not pass.
+// hold blocks while a chunk that was read from a connection may not be forwarded.
 func (p *Proxy) hold(from *net.TCPConn, forward bool) {
 	for {
 		mode, changed, closed := p.state()
@@ -240,7 +242,7 @@
 		case closed || mode == Pass || mode == Resets || (mode == OneWay && forward):
 			return
 		case mode == Slow:
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 			return
 		}
 		<-changed
--- a/internal/soak/stalls.go
+++ b/internal/soak/stalls.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// stallTick is how often the clock is looked at, and stallFrom the gap between two looks
-	// from which on the machine itself stood still: no process could keep a bound then.
-	stallTick = 20 * time.Millisecond
-	stallFrom = 250 * time.Millisecond
+	// clockInterval is the time between two readings of the clock. A gap of at least stallThreshold
+	// between them means that the machine itself was stalled, so that no process could keep a bound.
+	clockInterval  = 20 * time.Millisecond
+	stallThreshold = 250 * time.Millisecond
 )
 
-// Stalls notes when this process got no processor time, so that a broken promise can be told
-// from a machine that stood still. Safe for concurrent use.
+// Stalls records when this process got no processor time, to distinguish a violated guarantee from
+// a stalled machine. Safe for concurrent use.
 type Stalls struct {
-	mu    sync.Mutex
-	noted []stall
+	mu     sync.Mutex
+	stalls []stall
 }
 
-// stall is a time in which the machine stood still.
+// stall is a time range in which the machine was stalled.
 type stall struct{ from, to time.Time }
 
-// Watch looks at the clock until ctx ends.
+// Watch reads the clock every clockInterval and records stalls. It blocks until ctx is done.
 func (s *Stalls) Watch(ctx context.Context) {
-	tick := time.NewTicker(stallTick)
+	tick := time.NewTicker(clockInterval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
 		select {
 		case <-tick.C:
-			s.look(last, time.Now())
+			s.compare(last, time.Now())
 			last = time.Now()
 		case <-ctx.Done():
 			return
@@ -41,30 +41,31 @@
 	}
 }
 
-func (s *Stalls) look(last, now time.Time) {
-	if gap := now.Sub(last); gap >= stallFrom {
+// compare records a stall if two successive readings of the clock are too far apart.
+func (s *Stalls) compare(last, now time.Time) {
+	if gap := now.Sub(last); gap >= stallThreshold {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.noted = append(s.noted, stall{from: last, to: now})
+		s.stalls = append(s.stalls, stall{from: last, to: now})
 	}
 }
 
-// String words the stalls, empty without any.
+// String lists the stalls; it is empty without any.
 func (s *Stalls) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for _, n := range s.noted {
+	for _, n := range s.stalls {
 		out = append(out, fmt.Sprintf("%v before %s", n.to.Sub(n.from).Round(time.Millisecond), n.to.Format("15:04:05.000")))
 	}
 	return strings.Join(out, ", ")
 }
 
-// Within returns for how long of a time the machine stood still.
-func (s *Stalls) Within(from, to time.Time) (still time.Duration) {
+// Within returns for how long the machine was stalled between from and to.
+func (s *Stalls) Within(from, to time.Time) (stalled time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range s.noted {
+	for _, n := range s.stalls {
 		begin, end := n.from, n.to
 		if begin.Before(from) {
 			begin = from
@@ -72,7 +73,7 @@
 		if end.After(to) {
 			end = to
 		}
-		still += max(end.Sub(begin), 0)
+		stalled += max(end.Sub(begin), 0)
 	}
-	return still
+	return stalled
 }
