--- a/internal/standin/engine/cacheevents.go
+++ b/internal/standin/engine/cacheevents.go
@@ -11,15 +11,15 @@
 	"github.com/tacktally/tacktally/internal/cacheevents"
 )
 
-// keptEvents bounds the events that can still be asked for; older ones are a gap.
-const keptEvents = 256
+// maxEvents bounds the events that are kept. A reader that is further behind sees a gap.
+const maxEvents = 256
 
-// eventLog holds the latest cache events. Safe for concurrent use.
+// eventLog keeps the latest cache events. Safe for concurrent use.
 type eventLog struct {
 	mu      sync.Mutex
 	last    int64
 	events  []cacheevents.Event
-	changed chan struct{}
+	changed chan struct{} // closed and replaced at each event
 }
 
 func newEventLog() *eventLog { return &eventLog{changed: make(chan struct{})} }
@@ -29,13 +29,14 @@
 	defer l.mu.Unlock()
 	l.last++
 	l.events = append(l.events, cacheevents.Event{Number: l.last, Added: added, Dropped: dropped})
-	if len(l.events) > keptEvents {
+	if len(l.events) > maxEvents {
 		l.events = l.events[1:]
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
+// since returns the events with a number above after, and a channel that is closed at the next event.
 func (l *eventLog) since(after int64) (cacheevents.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +49,7 @@
 	return b, l.changed
 }
 
-// ServeHTTP answers GET /v1/cache-events.
+// ServeHTTP serves GET /v1/cache-events. Without a new event it blocks for up to the given wait.
 func (l *eventLog) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	after, _ := strconv.ParseInt(h.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(h.URL.Query().Get("wait"))
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -1,9 +1,8 @@
-// Package engine is a stand-in of a model engine: it batches continuously,
-// caches prompt prefixes in limited memory, knows no priorities, and admits in
-// order of arrival.
+// Package engine is a fake model engine. It batches continuously, caches prompt prefixes in limited
+// memory, has no priorities, and admits requests in order of arrival.
 //
-// Model is the engine as a state machine without a clock, which the experiments
-// step in virtual time. Server steps it in real time behind HTTP.
+// Model is the engine as a state machine without a clock, which the experiments step in virtual time.
+// Server steps it in real time behind HTTP.
 package engine
 
 import (
@@ -12,17 +11,17 @@
 	"github.com/tacktally/tacktally/internal/prefix"
 )
 
-// Spec is how fast and how large an engine is.
+// Spec holds the speed and the capacity of an engine.
 type Spec struct {
-	// PrefillPerSecond is the prompt tokens read a second by an otherwise idle engine.
+	// PrefillPerSecond is the prefill rate of an otherwise idle engine, in prompt tokens per second.
 	PrefillPerSecond float64
-	// StepBase is the least time of a step, StepPerSequence what each sequence
-	// that writes adds to it.
+	// StepBase is the minimum time of a step, StepPerSequence what each sequence that outputs a token
+	// in it adds.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
-	// Slots bounds the sequences that run at once.
+	// Slots bounds the sequences that run concurrently.
 	Slots int
-	// ChunkTokens bounds the prompt tokens read in one step.
+	// ChunkTokens bounds the prompt tokens prefilled in one step.
 	ChunkTokens int
 	// CacheBlocks bounds the prefix cache, in blocks of prefix.BlockTokens.
 	CacheBlocks int
@@ -30,22 +29,24 @@
 
 // Sequence is one request at the engine.
 type Sequence struct {
+	// Prompt and Output are the lengths of prompt and output, in tokens.
 	Prompt int
 	Output int
-	Chain  []uint64
-	// Value is the owner's.
+	// Chain holds the prefix hashes of the prompt.
+	Chain []uint64
+	// Value is set by the caller and not used by the engine.
 	Value any
 
-	toRead  int
-	read    int
-	written int
+	toPrefill int
+	prefilled int
+	emitted   int
 }
 
-// Prefilled returns the prompt tokens read for it, those in the cache left out.
-func (s *Sequence) Prefilled() int { return s.read }
+// Prefilled returns the number of prompt tokens prefilled so far, without those from the cache.
+func (s *Sequence) Prefilled() int { return s.prefilled }
 
-// Emitted returns the output tokens written so far.
-func (s *Sequence) Emitted() int { return s.written }
+// Emitted returns the number of output tokens so far.
+func (s *Sequence) Emitted() int { return s.emitted }
 
 // Model is an engine without a clock. Not safe for concurrent use.
 type Model struct {
@@ -57,9 +58,9 @@
 	dropped []uint64
 	onCache func(added, dropped []uint64)
 
-	// PrefilledTokens counts prompt tokens read.
+	// PrefilledTokens counts the prompt tokens that were prefilled.
 	PrefilledTokens int
-	// CachedTokens counts prompt tokens found in the cache.
+	// CachedTokens counts the prompt tokens that were found in the cache.
 	CachedTokens int
 }
 
@@ -70,17 +71,17 @@
 	return m
 }
 
-// OnCacheChange registers who is told of the blocks that came into the cache and of
+// OnCacheChange sets the function that is called with the blocks that were added to the cache and
 // those that were dropped for them.
 func (m *Model) OnCacheChange(f func(added, dropped []uint64)) { m.onCache = f }
 
-// SetSlow makes every step take so many times longer.
+// SetSlow multiplies the time of each step by factor.
 func (m *Model) SetSlow(factor float64) { m.slow = factor }
 
-// Add lets a sequence wait for a slot.
+// Add queues a sequence until a slot is free.
 func (m *Model) Add(s *Sequence) { m.waiting = append(m.waiting, s) }
 
-// Cancel removes a sequence.
+// Cancel removes a waiting or running sequence.
 func (m *Model) Cancel(s *Sequence) {
 	m.waiting = without(m.waiting, s)
 	m.running = without(m.running, s)
@@ -96,45 +97,45 @@
 	return kept
 }
 
-// Load returns the sequences at the engine, waiting or running.
+// Load returns the number of sequences that wait or run.
 func (m *Model) Load() int { return len(m.waiting) + len(m.running) }
 
-// Idle tells whether there is nothing to do.
+// Idle reports whether no sequence waits or runs.
 func (m *Model) Idle() bool { return m.Load() == 0 }
 
-// Step makes one step: it reads up to a chunk of prompts in order of arrival and
-// writes one token of each sequence whose prompt is read. It returns how long
-// the step takes and the sequences that wrote a token in it.
-func (m *Model) Step() (took time.Duration, wrote []*Sequence) {
+// Step makes one step: it prefills up to ChunkTokens of the prompts in order of arrival, and outputs one
+// token of each sequence whose prefill is done. It returns how long the step takes and the sequences
+// that output a token in it.
+func (m *Model) Step() (took time.Duration, emitted []*Sequence) {
 	m.admit()
-	read := 0
+	prefilled := 0
 	for _, s := range m.running {
-		n := min(s.toRead, m.spec.ChunkTokens-read)
-		s.toRead -= n
-		s.read += n
-		read += n
-		if s.toRead > 0 {
+		n := min(s.toPrefill, m.spec.ChunkTokens-prefilled)
+		s.toPrefill -= n
+		s.prefilled += n
+		prefilled += n
+		if s.toPrefill > 0 {
 			continue
 		}
-		if s.written == 0 {
-			m.keep(s.Chain)
+		if s.emitted == 0 {
+			m.cachePrompt(s.Chain)
 		}
-		s.written++
-		wrote = append(wrote, s)
+		s.emitted++
+		emitted = append(emitted, s)
 	}
-	m.PrefilledTokens += read
-	for _, s := range wrote {
-		if s.written >= s.Output {
+	m.PrefilledTokens += prefilled
+	for _, s := range emitted {
+		if s.emitted >= s.Output {
 			m.running = without(m.running, s)
 		}
 	}
-	seconds := float64(read) / m.spec.PrefillPerSecond
-	took = m.spec.StepBase + time.Duration(len(wrote))*m.spec.StepPerSequence + time.Duration(seconds*float64(time.Second))
-	return time.Duration(float64(took) * m.slow), wrote
+	seconds := float64(prefilled) / m.spec.PrefillPerSecond
+	took = m.spec.StepBase + time.Duration(len(emitted))*m.spec.StepPerSequence + time.Duration(seconds*float64(time.Second))
+	return time.Duration(float64(took) * m.slow), emitted
 }
 
-// keep takes a prompt that was read into the cache.
-func (m *Model) keep(chain []uint64) {
+// cachePrompt adds a prompt whose prefill is done to the cache.
+func (m *Model) cachePrompt(chain []uint64) {
 	m.dropped = nil
 	m.cache.Add(chain)
 	if m.onCache != nil {
@@ -142,13 +143,14 @@
 	}
 }
 
+// admit moves waiting sequences into free slots, in order of arrival.
 func (m *Model) admit() {
 	for len(m.waiting) > 0 && len(m.running) < m.spec.Slots {
 		s := m.waiting[0]
 		m.waiting = m.waiting[1:]
 		cached := min(m.cache.Cached(s.Chain)*prefix.BlockTokens, s.Prompt-1)
 		m.CachedTokens += cached
-		s.toRead = s.Prompt - cached
+		s.toPrefill = s.Prompt - cached
 		m.running = append(m.running, s)
 	}
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -12,29 +12,31 @@
 	"github.com/tacktally/tacktally/internal/orders"
 )
 
-// Orders is what an engine has loaded at others' orders. Safe for concurrent use.
+// Orders accepts the orders of instances and holds the state that results from them: the loaded models
+// and adapters, and the role. Safe for concurrent use.
 type Orders struct {
-	mu     sync.Mutex
-	checks bool
-	state  orders.State
-	taken  []orders.Order
+	mu            sync.Mutex
+	checksFencing bool
+	state         orders.State
+	accepted      []orders.Order
 }
 
-// SetChecksFencing makes the engine refuse orders with an old number, or take them.
+// SetChecksFencing sets whether the engine refuses orders whose fencing number is lower than the
+// highest one that it has accepted.
 func (o *Orders) SetChecksFencing(checks bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.checks = checks
+	o.checksFencing = checks
 }
 
-// Accepted returns the orders taken so far.
+// Accepted returns the orders accepted so far.
 func (o *Orders) Accepted() []orders.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]orders.Order(nil), o.taken...)
+	return append([]orders.Order(nil), o.accepted...)
 }
 
-// State returns what is loaded, and the role.
+// State returns a copy of the current state.
 func (o *Orders) State() orders.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -44,20 +46,20 @@
 	return s
 }
 
-// register adds the calls of the protocol.
+// register adds the handlers of the orders protocol.
 func (o *Orders) register(mux *http.ServeMux) {
-	mux.HandleFunc("GET /v1/state", o.show)
-	mux.HandleFunc("POST /v1/orders", o.take)
+	mux.HandleFunc("GET /v1/state", o.serveState)
+	mux.HandleFunc("POST /v1/orders", o.accept)
 }
 
-func (o *Orders) show(w http.ResponseWriter, _ *http.Request) {
+func (o *Orders) serveState(w http.ResponseWriter, _ *http.Request) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.MarshalWrite(w, o.state)
 }
 
-func (o *Orders) take(w http.ResponseWriter, h *http.Request) {
+func (o *Orders) accept(w http.ResponseWriter, h *http.Request) {
 	var order orders.Order
 	if err := json.UnmarshalRead(h.Body, &order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -65,11 +67,11 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.checks && order.Fencing < o.state.Fencing {
-		http.Error(w, "old fencing number", http.StatusConflict)
+	if o.checksFencing && order.Fencing < o.state.Fencing {
+		http.Error(w, "stale fencing number", http.StatusConflict)
 		return
 	}
-	o.taken = append(o.taken, order)
+	o.accepted = append(o.accepted, order)
 	o.state.Fencing = max(o.state.Fencing, order.Fencing)
 	switch order.Kind {
 	case orders.LoadModel:
@@ -84,7 +86,7 @@
 	}
 }
 
-// Forget drops what is loaded, as if the engine had begun anew.
+// Forget clears the state, as a restart of the engine does.
 func (o *Orders) Forget() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -21,31 +21,31 @@
 )
 
 const (
-	defaultOutput = 16
-	tagDigits     = 8
-	// keptRuns bounds the runs that can be resumed and are told by Runs.
-	keptRuns = 4096
+	defaultOutputTokens = 16
+	tagDigits           = 8
+	// maxKeptRuns bounds the runs that are kept for resumption and for Runs.
+	maxKeptRuns = 4096
 )
 
-// Faults is what a test makes an engine do wrong. Zero values do nothing.
+// Faults are the faults that an engine injects. The zero value injects none.
 type Faults struct {
-	// Refuse answers 503 before anything runs.
+	// Refuse makes the engine respond with 503 before a request runs.
 	Refuse bool
-	// TruncateAfter breaks the connection after so many events of a stream, once.
+	// TruncateAfter aborts the connection once, after the given number of events of a stream.
 	TruncateAfter int
-	// Garbage answers something that isn't of the protocol.
+	// Garbage makes the engine respond with malformed JSON.
 	Garbage bool
-	// Hold is received from before each answer begins.
+	// Hold is received from before each response begins.
 	Hold <-chan struct{}
 	// HoldToken is received from before each token after the first.
 	HoldToken <-chan struct{}
-	// Leaving is said with each answer.
+	// Leaving adds the leaving notice to each response.
 	Leaving bool
 }
 
 // Server is an engine behind HTTP. Safe for concurrent use.
 type Server struct {
-	// Orders is what it has loaded at others' orders.
+	// Orders holds the state that results from the orders of instances.
 	Orders Orders
 
 	mux *http.ServeMux
@@ -54,9 +54,9 @@
 	model     *Model
 	faults    Faults
 	streams   map[string]*run
-	order     []string // of streams, oldest first
+	order     []string // IDs of streams, oldest first
 	wake      chan struct{}
-	begun     []Run
+	runs      []Run
 	cancelled int
 	stop      chan struct{}
 	once      sync.Once
@@ -71,7 +71,7 @@
 	buffer   *answer.Buffer
 }
 
-// NewServer starts an engine. Close stops it.
+// NewServer returns a running engine. Close stops it.
 func NewServer(s Spec) *Server {
 	e := &Server{
 		mux:     http.NewServeMux(),
@@ -92,44 +92,44 @@
 	return e
 }
 
-// Close stops the engine.
+// Close stops the engine. It may be called repeatedly.
 func (e *Server) Close() { e.once.Do(func() { close(e.stop) }) }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults sets the faults from now on.
 func (e *Server) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// SetSlow makes the engine so many times slower.
+// SetSlow multiplies the time of each step by factor.
 func (e *Server) SetSlow(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.SetSlow(factor)
 }
 
-// Run is a run as the engine saw it.
+// Run is a request that the engine started to run.
 type Run struct {
 	Body string
 	At   time.Time
 }
 
-// Runs returns the runs begun so far.
+// Runs returns the latest runs, oldest first.
 func (e *Server) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Run(nil), e.begun...)
+	return append([]Run(nil), e.runs...)
 }
 
-// Cancelled returns how many runs were cancelled.
+// Cancelled returns the number of cancelled runs.
 func (e *Server) Cancelled() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cancelled
 }
 
-// PrefilledTokens returns how many prompt tokens were read.
+// PrefilledTokens returns the number of prompt tokens that were prefilled.
 func (e *Server) PrefilledTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,9 +145,9 @@
 		e.mu.Lock()
 		idle := e.model.Idle()
 		var took time.Duration
-		var wrote []*Sequence
+		var emitted []*Sequence
 		if !idle {
-			took, wrote = e.model.Step()
+			took, emitted = e.model.Step()
 		}
 		e.mu.Unlock()
 		if idle {
@@ -165,13 +165,14 @@
 			t.Stop()
 			return
 		}
-		for _, s := range wrote {
-			s.Value.(*run).write()
+		for _, s := range emitted {
+			s.Value.(*run).emit()
 		}
 	}
 }
 
-func (r *run) write() {
+// emit writes the event of the last token to the buffer, and the end after the last one.
+func (r *run) emit() {
 	n := r.sequence.Emitted()
 	content, _ := json.Marshal(chunk(r, n))
 	_ = r.buffer.Write(context.Background(), fmt.Appendf(nil, "data: %s\n\n", content))
@@ -180,8 +181,8 @@
 	}
 }
 
-// Token returns the text of token n of the answer to a body. Tests use it to see
-// that a caller got the whole answer to its own request.
+// Token returns the text of token n of the response to a body. Tests use it to check that a caller
+// received the complete response to its own request.
 func Token(body []byte, n int) string { return tagOf(body) + "." + strconv.Itoa(n) + " " }
 
 func tagOf(body []byte) string {
@@ -269,7 +270,7 @@
 		e.stream(w, h, r, 0)
 		return
 	}
-	e.whole(w, h, r, b)
+	e.writeCompletion(w, h, r, b)
 }
 
 func (e *Server) currentFaults() Faults {
@@ -285,7 +286,7 @@
 	}
 	output := b.MaxTokens
 	if output <= 0 {
-		output = defaultOutput
+		output = defaultOutputTokens
 	}
 	r := &run{id: rand.Text(), owner: owner, tag: tagOf(content), buffer: answer.New(true)}
 	r.sequence = &Sequence{
@@ -305,19 +306,19 @@
 	return r
 }
 
-// remember keeps the latest runs. The caller holds the lock.
+// remember records a run and drops the oldest one above maxKeptRuns. The caller holds the lock.
 func (e *Server) remember(body string, r *run) {
-	e.begun = append(e.begun, Run{Body: body, At: time.Now()})
+	e.runs = append(e.runs, Run{Body: body, At: time.Now()})
 	e.order = append(e.order, r.id)
 	e.streams[r.id] = r
-	if len(e.order) > keptRuns {
+	if len(e.order) > maxKeptRuns {
 		delete(e.streams, e.order[0])
 		e.order = e.order[1:]
-		e.begun = e.begun[1:]
+		e.runs = e.runs[1:]
 	}
 }
 
-func (e *Server) whole(w http.ResponseWriter, h *http.Request, r *run, b body) {
+func (e *Server) writeCompletion(w http.ResponseWriter, h *http.Request, r *run, b body) {
 	if _, err := r.buffer.Wait(h.Context()); err != nil {
 		return
 	}
@@ -336,7 +337,7 @@
 	})
 }
 
-// stream writes the events after the offset.
+// stream writes the events of a run, without the first offset ones.
 func (e *Server) stream(w http.ResponseWriter, h *http.Request, r *run, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(upstream.HeaderStreamID, r.id)
@@ -358,7 +359,7 @@
 		if n > 1 && !e.holdToken(h.Context()) {
 			return
 		}
-		if e.cutNow(n) {
+		if e.truncateNow(n) {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := w.Write(event.Chunk); err != nil {
@@ -368,6 +369,7 @@
 	}
 }
 
+// holdToken blocks while Faults.HoldToken does. It reports whether the stream goes on.
 func (e *Server) holdToken(ctx context.Context) bool {
 	hold := e.currentFaults().HoldToken
 	if hold == nil {
@@ -381,7 +383,9 @@
 	}
 }
 
-func (e *Server) cutNow(events int) bool {
+// truncateNow reports whether the stream has to be truncated before event number events. It resets the
+// fault if so.
+func (e *Server) truncateNow(events int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.TruncateAfter == 0 || events <= e.faults.TruncateAfter {
@@ -391,6 +395,7 @@
 	return true
 }
 
+// find returns the run of a request for a stream, or nil if there is none of the same owner.
 func (e *Server) find(h *http.Request) *run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
