--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform is a small stand-in of the platform's configuration service
-// and instance list, for the demo and the tests. Its protocol is described in
-// internal/platform.
+// Package platform is a small fake of the platform's configuration service and instance list, for the
+// demo and the tests. Package internal/platform describes the protocol.
 package platform
 
 import (
@@ -15,16 +14,16 @@
 	"github.com/tacktally/tacktally/internal/platform"
 )
 
-// Service holds one document and one list. Safe for concurrent use.
+// Service serves one configuration document, its parts and one instance list. Safe for concurrent use.
 type Service struct {
-	mu       sync.Mutex
-	down     bool
-	config   value
-	list     value
-	parts    map[string][]byte // by key
-	changed  chan struct{}
-	calls    int
-	listHeld *value // the list shown while it lags
+	mu         sync.Mutex
+	down       bool
+	config     value
+	list       value
+	parts      map[string][]byte // by key
+	changed    chan struct{}     // closed and replaced at each change
+	calls      int
+	frozenList *value // served in place of list once set
 }
 
 type value struct {
@@ -32,9 +31,10 @@
 	content  []byte
 }
 
-// New returns a service that holds nothing.
+// New returns a service without a document and a list.
 func New() *Service { return &Service{changed: make(chan struct{}), parts: map[string][]byte{}} }
 
+// update runs f with the lock held, and wakes all calls that wait for a change.
 func (s *Service) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,37 +43,37 @@
 	s.changed = make(chan struct{})
 }
 
-// Publish puts a document under a revision, lower than before if need be.
+// Publish publishes a document under a revision, which may be lower than the previous one.
 func (s *Service) Publish(revision int64, content []byte) {
 	s.update(func() { s.config = value{revision, content} })
 }
 
-// PublishPart puts a value under another key than the document's.
+// PublishPart publishes a part of the configuration under its own key.
 func (s *Service) PublishPart(key string, content []byte) {
 	s.update(func() { s.parts[key] = content })
 }
 
-// SetInstances puts the list under the next version.
+// SetInstances publishes the instance list under the next version.
 func (s *Service) SetInstances(list []platform.Instance) {
 	content, err := json.Marshal(list)
 	if err != nil {
-		panic("standin: a list always encodes: " + err.Error())
+		panic("standin: encode the instance list: " + err.Error())
 	}
 	s.update(func() { s.list = value{s.list.revision + 1, content} })
 }
 
-// SetDown makes every call fail, and ends those that wait.
+// SetDown sets whether every call fails, including those that wait.
 func (s *Service) SetDown(down bool) { s.update(func() { s.down = down }) }
 
-// FreezeList makes the list lag: it shows what it shows now from then on.
+// FreezeList makes the service go on serving the current list, whatever SetInstances publishes later.
 func (s *Service) FreezeList() {
 	s.update(func() {
-		held := s.list
-		s.listHeld = &held
+		frozen := s.list
+		s.frozenList = &frozen
 	})
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	s.calls++
 	s.mu.Unlock()
 	if part := s.part(h.URL.Path); part != nil {
-		answer(w, value{1, part})
+		writeValue(w, value{1, part})
 		return
 	}
 	after, _ := strconv.ParseInt(h.URL.Query().Get("after"), 10, 64)
@@ -94,13 +94,13 @@
 	timeout := time.NewTimer(time.Duration(wait) * time.Second)
 	defer timeout.Stop()
 	for {
-		v, down, changed := s.look(h.URL.Path == "/v1/instances")
+		v, down, changed := s.current(h.URL.Path == "/v1/instances")
 		switch {
 		case down:
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		case v.revision != after || wait == 0:
-			answer(w, v)
+			writeValue(w, v)
 			return
 		}
 		select {
@@ -114,7 +114,7 @@
 	}
 }
 
-// part returns the value of a part's path, or nil.
+// part returns the part at a path, or nil.
 func (s *Service) part(path string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,20 +124,23 @@
 	return s.parts[strings.TrimPrefix(path, "/v1/config/")]
 }
 
-func (s *Service) look(list bool) (v value, down bool, changed chan struct{}) {
+// current returns the current list or document, whether the service is down, and a channel that is
+// closed at the next change.
+func (s *Service) current(list bool) (v value, down bool, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v = s.config
 	if list {
 		v = s.list
-		if s.listHeld != nil {
-			v = *s.listHeld
+		if s.frozenList != nil {
+			v = *s.frozenList
 		}
 	}
 	return v, s.down, s.changed
 }
 
-func answer(w http.ResponseWriter, v value) {
+// writeValue writes a value with its revision, or 404 if none was published.
+func writeValue(w http.ResponseWriter, v value) {
 	if v.revision == 0 {
 		http.Error(w, "nothing published", http.StatusNotFound)
 		return
