--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -1,4 +1,4 @@
-// Package rig runs daemons and the stand-ins around them in one process on
+// Package rig is a harness that runs daemons, fake upstreams and a fake platform in one process on
 // loopback, for the demo, the benchmarks and the tests of clients.
 package rig
 
@@ -24,7 +24,7 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-// Names of the rig's resources.
+// Names of the resources in Document.
 const (
 	Zone         = "bole"
 	Model        = "move-planner"
@@ -38,33 +38,33 @@
 )
 
 const (
-	anyPort    = "127.0.0.1:0"
-	readyPoll  = 5 * time.Millisecond
-	readyLimit = 10 * time.Second
+	anyPort           = "127.0.0.1:0"
+	readyPollInterval = 5 * time.Millisecond
+	readyTimeout      = 10 * time.Second
 )
 
-// Options of a rig.
+// Options configure a harness.
 type Options struct {
-	// Engines to run.
+	// Engines are the engines to run.
 	Engines []engine.Spec
-	// Daemons to run; 1 where 0.
+	// Daemons is the number of daemons to run. Default 1.
 	Daemons int
-	// Callers, Operators and Peers are the addresses of the first daemon; free
-	// ports where empty.
+	// Callers, Operators and Peers are the listen addresses of the first daemon. All three are set or
+	// none; by default free ports are used.
 	Callers, Operators, Peers string
-	// Tune changes the settings of each daemon. May be nil.
+	// Tune modifies the settings of each daemon. May be nil.
 	Tune func(*settings.Settings)
-	// Log of the daemons; discarded where nil.
+	// Log receives the log lines of the daemons. By default they are discarded.
 	Log io.Writer
-	// Document is published; Document() where nil.
+	// Document is the configuration to publish. Default Document().
 	Document *api.Document
 }
 
-// Harness is running daemons and stand-ins.
+// Harness holds the running daemons and fakes.
 type Harness struct {
 	Platform *standinplatform.Service
 	Engines  []*engine.Server
-	// EngineAddresses are where the engines listen, in their order.
+	// EngineAddresses are the addresses of Engines, in the same order.
 	EngineAddresses []string
 	Service         *service.Service
 	Daemons         []*daemon.Daemon
@@ -76,7 +76,7 @@
 	running   sync.WaitGroup
 }
 
-// Start starts everything and waits until the daemons are ready.
+// Start starts the fakes and the daemons, and blocks until the daemons are ready.
 func Start(o Options) (*Harness, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Harness{options: o, Platform: standinplatform.New(), Service: service.New(), cancel: cancel}
@@ -103,7 +103,7 @@
 		return err
 	}
 	r.instances = append(r.instances, platform.Instance{Address: address, Zone: Zone, Set: Bookings, State: platform.Live})
-	platformAt, err := r.serve(r.Platform)
+	platformAddress, err := r.serve(r.Platform)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 		return err
 	}
 	for i := range max(r.options.Daemons, 1) {
-		if err := r.startDaemon(ctx, i, "http://"+platformAt); err != nil {
+		if err := r.startDaemon(ctx, i, "http://"+platformAddress); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 	}
 	content, err := json.Marshal(d)
 	if err != nil {
-		return fmt.Errorf("the rig's document doesn't encode: %w", err)
+		return fmt.Errorf("encode the configuration document: %w", err)
 	}
 	r.Platform.Publish(1, content)
 	return nil
@@ -166,7 +166,7 @@
 func (r *Harness) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return "", fmt.Errorf("a stand-in can't listen on loopback: %w", err)
+		return "", fmt.Errorf("listen on loopback for a fake: %w", err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	r.servers = append(r.servers, s)
@@ -174,24 +174,24 @@
 	return l.Addr().String(), nil
 }
 
-// waitReady waits until every daemon has the document and the whole list.
+// waitReady blocks until every daemon has the document and the instance list.
 func (r *Harness) waitReady() error {
-	limit := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for _, d := range r.Daemons {
 		for d.Status().ListVersion == 0 || d.Status().Revision == 0 {
-			if time.Now().After(limit) {
-				return errors.New("a daemon of the rig didn't become ready")
+			if time.Now().After(deadline) {
+				return errors.New("daemon didn't become ready within the timeout")
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-// URL returns the callers' address of a daemon.
+// URL returns the base URL for callers of daemon n.
 func (r *Harness) URL(n int) string { return "http://" + r.Daemons[n].CallerAddress() }
 
-// Close shuts the daemons down and ends the stand-ins.
+// Close shuts the daemons down gracefully, then stops the fakes.
 func (r *Harness) Close() {
 	r.cancel()
 	r.running.Wait()
@@ -203,7 +203,7 @@
 	}
 }
 
-// Document is the configuration that a rig publishes.
+// Document returns the configuration that a harness publishes by default.
 func Document() *api.Document {
 	tier := func(name string, rank, timeout, first int) api.Tier {
 		return api.Tier{Metadata: api.Metadata{Name: name}, Spec: api.TierSpec{Rank: rank, TimeoutMillis: timeout, FirstTokenMillis: first}}
