--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in of a plain service: it records every call it is
-// given, and answers with what it was sent.
+// Package service is a fake plain service. It records every call and echoes the request body in its
+// response.
 package service
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/tacktally/tacktally/internal/upstream"
 )
 
-// Call is one call as the service saw it.
+// Call is one call that the service received.
 type Call struct {
 	Method    string
 	Path      string
@@ -21,17 +21,17 @@
 	At        time.Time
 }
 
-// Faults is what a test makes a service do wrong.
+// Faults are the faults that a service injects. The zero value injects none.
 type Faults struct {
-	// Arrived is sent to when a call has come, before anything else.
+	// Arrived receives each call when it arrives, before the other faults apply.
 	Arrived chan<- Call
-	// Hold is received from after a call has run and before it is answered.
+	// Hold is received from after a call has run and before its response.
 	Hold <-chan struct{}
-	// Break breaks the connection after a call has run, instead of an answer.
+	// Break aborts the connection after a call has run, without a response.
 	Break bool
-	// TruncateBody breaks the connection in the midst of the answer's body.
+	// TruncateBody aborts the connection before the end of the response body.
 	TruncateBody bool
-	// Leaving is said with each answer.
+	// Leaving adds the leaving notice to each response.
 	Leaving bool
 }
 
@@ -45,7 +45,7 @@
 // New returns a service without faults.
 func New() *Service { return &Service{} }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults sets the faults from now on.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,7 @@
 	return append([]Call(nil), s.calls...)
 }
 
-// Answer is what the service answers to a body.
+// Answer returns the response body to a request body.
 func Answer(body string) string { return "done: " + body }
 
 // ServeHTTP implements http.Handler.
