--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -1,8 +1,8 @@
-// Package wire is a stand-in of the network between two processes: a TCP relay
-// that a test can cut for chosen sources.
+// Package wire is a fake of the network between two processes: a TCP relay in which a test can
+// partition selected sources.
 //
-// A cut is silent, as in a partition: connections stay open and nothing passes.
-// What was under way is lost with the connection, which Heal closes.
+// A partition is silent: connections stay open and nothing is relayed. Heal closes these connections,
+// so that the data in flight is lost.
 package wire
 
 import (
@@ -14,39 +14,40 @@
 
 const bufferBytes = 32 << 10
 
-// Relay passes connections to a target. Safe for concurrent use.
+// Relay forwards connections to a target. Safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	target   string
 
-	passed atomic.Int64
+	relayed atomic.Int64 // bytes
 
-	mu    sync.Mutex
-	cuts  map[string]bool // by source IP; "" cuts all
-	conns map[*pair]bool
+	mu          sync.Mutex
+	partitioned map[string]bool // by source IP; "" stands for all
+	conns       map[*pair]bool
 }
 
+// pair holds the two connections of one relayed connection.
 type pair struct {
-	source string
-	a, b   net.Conn
-	cut    bool
+	source      string
+	a, b        net.Conn
+	partitioned bool
 }
 
-// Listen starts a relay on an address.
+// Listen starts a relay from an address to a target. Close stops it.
 func Listen(address, target string) (*Relay, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("a relay can't listen on %s: %w", address, err)
+		return nil, fmt.Errorf("listen on %s for a relay: %w", address, err)
 	}
-	r := &Relay{listener: l, target: target, cuts: map[string]bool{}, conns: map[*pair]bool{}}
+	r := &Relay{listener: l, target: target, partitioned: map[string]bool{}, conns: map[*pair]bool{}}
 	go r.accept()
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections.
+// Close stops listening and closes all connections.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -56,28 +57,28 @@
 	}
 }
 
-// RelayedBytes returns how many bytes have passed, both ways.
-func (r *Relay) RelayedBytes() int64 { return r.passed.Load() }
+// RelayedBytes returns the number of bytes relayed in both directions.
+func (r *Relay) RelayedBytes() int64 { return r.relayed.Load() }
 
-// Partition lets nothing pass for connections from the source IP; "" stands for all.
+// Partition stops relaying for connections from the source IP; "" stands for all.
 func (r *Relay) Partition(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cuts[source] = true
+	r.partitioned[source] = true
 	for p := range r.conns {
 		if source == "" || p.source == source {
-			p.cut = true
+			p.partitioned = true
 		}
 	}
 }
 
-// Heal ends a cut, and closes the connections that it had silenced.
+// Heal ends a partition, and closes the connections that it affected.
 func (r *Relay) Heal(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.cuts, source)
+	delete(r.partitioned, source)
 	for p := range r.conns {
-		if p.cut && (source == "" || p.source == source) {
+		if p.partitioned && (source == "" || p.source == source) {
 			p.close()
 		}
 	}
@@ -104,13 +105,13 @@
 	source, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	p := &pair{source: source, a: conn}
 	r.mu.Lock()
-	p.cut = r.cuts[source] || r.cuts[""]
+	p.partitioned = r.partitioned[source] || r.partitioned[""]
 	r.conns[p] = true
 	r.mu.Unlock()
 	defer r.forget(p)
-	if r.isCut(p) {
+	if r.isPartitioned(p) {
 		var one [1]byte
-		for { // silent until Heal or the other side closes
+		for { // discards everything until Heal or the other side closes the connection
 			if _, err := conn.Read(one[:]); err != nil {
 				return
 			}
@@ -129,10 +130,10 @@
 	<-done
 }
 
-func (r *Relay) isCut(p *pair) bool {
+func (r *Relay) isPartitioned(p *pair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return p.cut
+	return p.partitioned
 }
 
 func (r *Relay) forget(p *pair) {
@@ -142,13 +143,13 @@
 	delete(r.conns, p)
 }
 
-// copy passes bytes on, and swallows them while cut.
+// copy relays bytes in one direction, and discards them while the connection is partitioned.
 func (r *Relay) copy(p *pair, to, from net.Conn) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.isCut(p) {
-			r.passed.Add(int64(n))
+		if n > 0 && !r.isPartitioned(p) {
+			r.relayed.Add(int64(n))
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				return
 			}
