--- a/internal/faults/configuration_test.go
+++ b/internal/faults/configuration_test.go
@@ -11,6 +11,8 @@
 	"github.com/tacktally/tacktally/internal/pause"
 )
 
+// A configuration reaches every instance, also one that only its peers reach. Stale, conflicting and
+// invalid revisions are reported and not applied.
 func TestConfigurationReachesEveryInstanceAndNeverReverts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -21,19 +23,19 @@
 			f.eventually(fmt.Sprintf("%s has revision %d", p.ip, revision), func() bool { return p.status().Revision == revision })
 		}
 	}
-	f.daemons[2].platWire.Partition("") // learns from its peers alone
+	f.daemons[2].platformRelay.Partition("") // receives the configuration only from its peers
 	f.publish(3)
 	all(3)
 	f.platform.Publish(2, document("stale"))
-	f.eventually("the stale value is seen", func() bool { return f.daemons[0].metric("tacktally_config_older_total") > 0 })
+	f.eventually("the stale revision is reported", func() bool { return f.daemons[0].metric("tacktally_config_older_total") > 0 })
 	all(3)
 	f.platform.Publish(3, document("another"))
 	f.eventually("the conflict is reported", func() bool { return f.daemons[0].metric("tacktally_config_conflicts_total") > 0 })
 	f.platform.Publish(4, []byte(`{"tiers": 7}`))
-	f.eventually("the fault is reported", func() bool { return f.daemons[0].metric("tacktally_config_rejected_total") > 0 })
+	f.eventually("the invalid configuration is reported", func() bool { return f.daemons[0].metric("tacktally_config_rejected_total") > 0 })
 	all(3)
-	// An instance that starts while the platform is stale must not serve under
-	// what the platform says while a peer knows better.
+	// An instance that starts while the platform serves a stale revision must use the newer one of its
+	// peers.
 	f.publish(1)
 	f.daemons[0].kill()
 	f.daemons[0].start()
@@ -43,7 +45,7 @@
 	all(5)
 }
 
-func TestStartsFromPeersWhileThePlatformIsDown(t *testing.T) {
+func TestInstanceStartsFromPeersWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
@@ -52,21 +54,22 @@
 	f.daemons[0].start()
 	f.daemons[0].waitReady()
 	is.Equal(f.daemons[0].status().Revision, int64(1))
-	f.eventually("it serves", func() bool { return f.daemons[0].send(call{path: lookup, body: "q"}).outcome == api.Answered })
+	f.eventually("it serves", func() bool { return f.daemons[0].send(call{path: lookupPath, body: "q"}).outcome == api.Answered })
 }
 
-func TestWokenInstanceServesUnderWhatIsInForce(t *testing.T) {
+// A frozen instance that resumes applies the newest configuration before it serves the first request.
+func TestResumedInstanceServesWithCurrentConfiguration(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
 	frozen := f.daemons[1]
 	frozen.freeze()
 	f.publish(4)
-	f.eventually("the other has it", func() bool { return f.daemons[0].status().Revision == 4 })
-	<-time.After(pause.Threshold + 200*time.Millisecond) // the length of the fault
+	f.eventually("the other instance has revision 4", func() bool { return f.daemons[0].status().Revision == 4 })
+	<-time.After(pause.Threshold + 200*time.Millisecond) // the duration of the fault
 	early := make(chan reply, 1)
-	go func() { early <- frozen.send(call{path: lookup, body: "q"}) }()
-	frozen.wake()
+	go func() { early <- frozen.send(call{path: lookupPath, body: "q"}) }()
+	frozen.resume()
 	r := <-early
 	is.Equal(r.outcome, api.Answered)
 	is.Equal(r.header.Get(api.HeaderRevision), "4")
--- a/internal/faults/crashes_test.go
+++ b/internal/faults/crashes_test.go
@@ -15,34 +15,35 @@
 	"github.com/tacktally/tacktally/internal/platform"
 )
 
-// mortal is a service whose process ends as it begins to run the deadly request.
-type mortal struct {
-	server *http.Server
-	ended  *atomic.Int32
+// crashingService is a service that terminates as soon as it starts to run a request with crashingBody.
+type crashingService struct {
+	server  *http.Server
+	crashes *atomic.Int32
 }
 
-const deadlyBody = "crash"
+const crashingBody = "crash"
 
-func (m *mortal) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *crashingService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	if string(body) != deadlyBody {
+	if string(body) != crashingBody {
 		_, _ = fmt.Fprintf(w, "did %s", body)
 		return
 	}
-	m.ended.Add(1)
-	_ = m.server.Close() // port and connections
+	m.crashes.Add(1)
+	_ = m.server.Close() // closes the listener and all connections
 }
 
-// The same cause as in the incident of crashing requests, at the own interface: a caller comes again, at
-// any instance, under an ID or a key of its own each time, with what crashes whatever runs it.
-func TestARequestThatCrashesUpstreamsIsHeldBackAtTheOwnInterface(t *testing.T) {
+// A request that crashes each upstream that runs it is quarantined, although the caller sends it again to
+// any instance, each time with a new ID or key. This is the fault of the incident of crashing requests,
+// here at the HTTP API of the instances themselves.
+func TestRequestThatCrashesUpstreamsIsQuarantinedAtOwnAPI(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
-	var ended atomic.Int32
+	var crashes atomic.Int32
 	list := []platform.Instance{}
 	for _, i := range f.list {
-		if i.Set != claims {
+		if i.Set != claimsService {
 			list = append(list, i)
 		}
 	}
@@ -50,24 +51,24 @@
 		address := fmt.Sprintf("%s:9%03d", f.ip(150), 100+i)
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 		is.NoErr(err)
-		m := &mortal{ended: &ended}
+		m := &crashingService{crashes: &crashes}
 		m.server = &http.Server{Handler: m}
 		go m.server.Serve(l) //nolint:errcheck // ends with Close
 		t.Cleanup(func() { _ = m.server.Close() })
-		list = append(list, platform.Instance{Address: address, Zone: "fort", Set: claims, State: platform.Live})
+		list = append(list, platform.Instance{Address: address, Zone: "fort", Set: claimsService, State: platform.Live})
 	}
 	f.platform.SetInstances(list)
 	for _, p := range f.daemons {
-		f.eventually("the new services are used", func() bool { return p.send(call{path: lookup, body: "x"}).body == "did x" })
+		f.eventually("the new services are in use", func() bool { return p.send(call{path: lookupPath, body: "x"}).body == "did x" })
 	}
 	var last reply
 	for try := range 16 {
-		last = f.daemons[try%2].send(call{path: lookup, body: deadlyBody})
+		last = f.daemons[try%2].send(call{path: lookupPath, body: crashingBody})
 	}
-	is.True(ended.Load() <= 6) // three, and three tries after that
+	is.True(crashes.Load() <= 6) // three, and three retries after that
 	is.Equal(last.problem.Reason, api.ReasonCrashesUpstreams)
 	is.Equal(last.outcome, api.NotRun)
-	is.Equal(f.daemons[0].send(call{path: lookup, body: "y"}).body, "did y")
-	last = f.daemons[1].send(call{path: release, body: deadlyBody, key: f.daemons[1].issue()})
+	is.Equal(f.daemons[0].send(call{path: lookupPath, body: "y"}).body, "did y")
+	last = f.daemons[1].send(call{path: releasePath, body: crashingBody, key: f.daemons[1].issue()})
 	is.True(last.problem.Reason != api.ReasonCrashesUpstreams) // another request
 }
--- a/internal/faults/doc.go
+++ b/internal/faults/doc.go
@@ -1,4 +1,4 @@
-// Package faults holds the tests that bring failures about: a fleet of daemons
-// as processes of their own, stand-ins whose steps are held until a test lets
-// them go, and the fault matrix. It has no code but tests.
+// Package faults holds the fault injection tests: fleets of daemons that run as separate processes,
+// fake upstreams that hold their responses until a test releases them, and the fault matrix. It
+// contains only tests.
 package faults
--- a/internal/faults/fleet_test.go
+++ b/internal/faults/fleet_test.go
@@ -29,15 +29,16 @@
 	"github.com/tacktally/tacktally/internal/standin/wire"
 )
 
-// roleVariable makes the test binary run as a daemon with the settings it names.
-const roleVariable = "TACKTALLY_TEST_SETTINGS"
+// settingsVariable is the environment variable that makes the test binary run as a daemon, with the
+// settings file that it names.
+const settingsVariable = "TACKTALLY_TEST_SETTINGS"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(roleVariable); path != "" {
+	if path := os.Getenv(settingsVariable); path != "" {
 		os.Exit(runDaemon(path))
 	}
-	if role := os.Getenv(standInVariable); role != "" {
-		os.Exit(runStandIn(role, os.Getenv(addressVariable)))
+	if role := os.Getenv(fakeRoleVariable); role != "" {
+		os.Exit(runFake(role, os.Getenv(addressVariable)))
 	}
 	os.Exit(m.Run())
 }
@@ -60,19 +61,19 @@
 }
 
 const (
-	apiKey     = "key-of-wijesinghe"
-	otherKey   = "key-of-gebremedhin"
-	claims     = "claims"
-	readers    = "readers"
-	modelName  = "dossier"
-	patience   = 20 * time.Second
-	pollPeriod = 5 * time.Millisecond
+	apiKey        = "key-of-wijesinghe"
+	otherKey      = "key-of-gebremedhin"
+	claimsService = "claims"
+	readerEngines = "readers"
+	modelName     = "dossier"
+	testTimeout   = 20 * time.Second
+	pollInterval  = 5 * time.Millisecond
 )
 
-// fleet is daemons in processes of their own before stand-ins in this one.
+// fleet holds daemons that run as separate processes, and the fakes in this process that they use.
 type fleet struct {
 	t        testing.TB
-	network  string // first three numbers of its addresses
+	network  string // the first three numbers of its IP addresses, with a final dot
 	platform *standinplatform.Service
 	service  *service.Service
 	engine   *engine.Server
@@ -81,27 +82,30 @@
 	client   *http.Client
 }
 
-// process is one daemon.
+// process is a daemon that runs as a separate process.
 type process struct {
-	fleet    *fleet
-	ip       string
-	zone     string
-	command  *exec.Cmd
-	exited   chan struct{}
-	peerWire *wire.Relay // others reach its peer listener through this
-	platWire *wire.Relay // it reaches the platform through this
-	log      *os.File
-	tune     func(*settings.Settings)
+	fleet         *fleet
+	ip            string
+	zone          string
+	command       *exec.Cmd
+	exited        chan struct{}
+	peerRelay     *wire.Relay // on the network path of peers to its peer listener
+	platformRelay *wire.Relay // on its network path to the platform
+	log           *os.File
+	configure     func(*settings.Settings)
 }
 
 var networks atomic.Int32
 
-// newFleet starts one daemon for each zone named, each with upstreams of its zone.
+// newFleet starts one daemon for each given zone, and one service and one engine for each distinct zone.
+// It blocks until the daemons are ready and linked.
 func newFleet(t testing.TB, zones ...string) *fleet {
-	return newTunedFleet(t, nil, zones...)
+	return newConfiguredFleet(t, nil, zones...)
 }
 
-func newTunedFleet(t testing.TB, tune func(*settings.Settings), zones ...string) *fleet {
+// newConfiguredFleet is newFleet with a function that modifies the settings of each daemon. It may be
+// nil.
+func newConfiguredFleet(t testing.TB, configure func(*settings.Settings), zones ...string) *fleet {
 	t.Helper()
 	n := networks.Add(1)
 	f := &fleet{
@@ -112,22 +116,22 @@
 		engine: engine.NewServer(engine.Spec{
 			PrefillPerSecond: 1e6, StepBase: time.Millisecond, Slots: 64, ChunkTokens: 4096, CacheBlocks: 64,
 		}),
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience},
+		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout},
 	}
 	t.Cleanup(f.engine.Close)
-	platformAt := f.serve(f.ip(1)+":9000", f.platform)
+	platformAddress := f.serve(f.ip(1)+":9000", f.platform)
 	seen := map[string]bool{}
 	for i, zone := range zones {
-		p := &process{fleet: f, ip: f.ip(10 + i), zone: zone, tune: tune}
-		p.peerWire = f.relay(p.ip+":7004", p.ip+":7003")
-		p.platWire = f.relay(p.ip+":7005", platformAt)
+		p := &process{fleet: f, ip: f.ip(10 + i), zone: zone, configure: configure}
+		p.peerRelay = f.relay(p.ip+":7004", p.ip+":7003")
+		p.platformRelay = f.relay(p.ip+":7005", platformAddress)
 		f.daemons = append(f.daemons, p)
 		f.list = append(f.list, platform.Instance{Address: p.ip + ":7004", Zone: zone, State: platform.Live})
 		if !seen[zone] {
 			seen[zone] = true
 			f.list = append(f.list,
-				platform.Instance{Address: f.serve(f.ip(100+i)+":9001", f.service), Zone: zone, Set: claims, State: platform.Live},
-				platform.Instance{Address: f.serve(f.ip(100+i)+":9002", f.engine), Zone: zone, Set: readers, State: platform.Live})
+				platform.Instance{Address: f.serve(f.ip(100+i)+":9001", f.service), Zone: zone, Set: claimsService, State: platform.Live},
+				platform.Instance{Address: f.serve(f.ip(100+i)+":9002", f.engine), Zone: zone, Set: readerEngines, State: platform.Live})
 		}
 	}
 	f.publish(1)
@@ -144,6 +148,7 @@
 
 func (f *fleet) ip(last int) string { return f.network + fmt.Sprint(last) }
 
+// serve starts an HTTP server at an address until the test ends.
 func (f *fleet) serve(address string, h http.Handler) string {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -155,6 +160,7 @@
 	return address
 }
 
+// relay starts a relay from an address to a target until the test ends.
 func (f *fleet) relay(address, target string) *wire.Relay {
 	r, err := wire.Listen(address, target)
 	if err != nil {
@@ -164,10 +170,10 @@
 	return r
 }
 
-// document is the configuration; note sets revisions apart.
+// document returns the configuration; note makes the content of a revision unique.
 func document(note string) []byte { return documentWith(note, api.EngineSetSpec{}) }
 
-// documentWith adds to the engine set what a test declares of it.
+// documentWith returns the configuration with the given spec of the engine set.
 func documentWith(note string, set api.EngineSetSpec) []byte {
 	set.Models, set.MaxPromptTokens, set.MaxOutputTokens = []string{modelName}, 100_000, 100
 	tier := func(name string, rank int) api.Tier {
@@ -183,8 +189,8 @@
 			}},
 		},
 		Tiers:      []api.Tier{tier("counter", 0), tier("desk", 1), tier("note-"+note, 2)},
-		EngineSets: []api.EngineSet{{Metadata: api.Metadata{Name: readers}, Spec: set}},
-		Services:   []api.Service{{Metadata: api.Metadata{Name: claims}, Spec: api.ServiceSpec{NonIdempotent: []string{"POST /release"}, MaxBodyBytes: 16 << 20}}},
+		EngineSets: []api.EngineSet{{Metadata: api.Metadata{Name: readerEngines}, Spec: set}},
+		Services:   []api.Service{{Metadata: api.Metadata{Name: claimsService}, Spec: api.ServiceSpec{NonIdempotent: []string{"POST /release"}, MaxBodyBytes: 16 << 20}}},
 	})
 	if err != nil {
 		panic(err)
@@ -192,8 +198,10 @@
 	return content
 }
 
+// publish publishes the configuration under a revision.
 func (f *fleet) publish(revision int64) { f.platform.Publish(revision, document(fmt.Sprint(revision))) }
 
+// start starts the daemon. It is killed when the test ends.
 func (p *process) start() {
 	t := p.fleet.t
 	t.Helper()
@@ -211,8 +219,8 @@
 	for _, q := range p.fleet.daemons {
 		s.Peers.Seeds = append(s.Peers.Seeds, q.ip+":7004")
 	}
-	if p.tune != nil {
-		p.tune(s)
+	if p.configure != nil {
+		p.configure(s)
 	}
 	content, err := json.Marshal(s)
 	if err != nil {
@@ -227,7 +235,7 @@
 		t.Fatal(err)
 	}
 	p.command = selfCommand()
-	p.command.Env = append(os.Environ(), roleVariable+"="+path)
+	p.command.Env = append(os.Environ(), settingsVariable+"="+path)
 	p.command.Stderr = p.log
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
@@ -240,7 +248,7 @@
 	t.Cleanup(p.end)
 }
 
-// end kills the process, and shows its log when the test failed.
+// end kills the process, and logs its output if the test failed.
 func (p *process) end() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
@@ -252,7 +260,8 @@
 	}
 }
 
-// selfCommand runs this binary again. The process ends with the test.
+// selfCommand returns a command that runs this test binary. The kernel kills its process when this one
+// ends.
 func selfCommand() *exec.Cmd {
 	c := exec.Command(os.Args[0])
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -261,26 +270,27 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
 
+// kill kills the process and blocks until it has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
-func (p *process) wake()   { p.signal(syscall.SIGCONT) }
+func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// eventually waits until a condition on another process holds.
+// eventually polls until a condition holds, and fails the test after testTimeout.
 func (f *fleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
-	limit := time.NewTimer(patience)
-	defer limit.Stop()
-	tick := time.NewTicker(pollPeriod)
+	timeout := time.NewTimer(testTimeout)
+	defer timeout.Stop()
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-tick.C:
-		case <-limit.C:
-			f.t.Fatalf("never came about: %s", what)
+		case <-timeout.C:
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -297,7 +307,7 @@
 	})
 }
 
-// status is what the tests read of an instance.
+// status holds the fields of an instance's status that the tests use.
 type status struct {
 	Revision    int64 `json:"revision"`
 	ListVersion int64 `json:"listVersion"`
@@ -310,10 +320,11 @@
 }
 
 func (p *process) status() (s status) {
-	p.read("/v1/status", &s)
+	p.getResource("/v1/status", &s)
 	return s
 }
 
+// reachable returns the number of peers that the daemon reports as reachable.
 func (p *process) reachable() int {
 	n := 0
 	for _, q := range p.status().Peers {
@@ -324,6 +335,7 @@
 	return n
 }
 
+// waitLinked blocks until every daemon reaches all others.
 func (f *fleet) waitLinked() {
 	f.t.Helper()
 	for _, p := range f.daemons {
@@ -331,25 +343,25 @@
 	}
 }
 
-// cut separates two daemons, silently.
-func cut(a, b *process) {
-	a.peerWire.Partition(b.ip)
-	b.peerWire.Partition(a.ip)
+// partition drops all traffic between two daemons, without closing their connections.
+func partition(a, b *process) {
+	a.peerRelay.Partition(b.ip)
+	b.peerRelay.Partition(a.ip)
 }
 
 func heal(a, b *process) {
-	a.peerWire.Heal(b.ip)
-	b.peerWire.Heal(a.ip)
+	a.peerRelay.Heal(b.ip)
+	b.peerRelay.Heal(a.ip)
 }
 
-// reply is an answer as a caller got it.
+// reply is a response as the caller received it.
 type reply struct {
-	status  int
-	body    string
-	problem api.Problem
-	header  http.Header
-	outcome api.Outcome
-	whole   bool
+	status   int
+	body     string
+	problem  api.Problem
+	header   http.Header
+	outcome  api.Outcome
+	complete bool
 }
 
 // call is one request of a caller.
@@ -360,21 +372,20 @@
 	key     string
 	attempt string
 	timeout time.Duration
-	// hasty callers give up soon after the timeout, since the instance may be frozen
-	// or cut off; others wait for its answer.
-	hasty  bool
-	tier   string
-	header map[string]string
+	// clientTimeout makes the caller give up 300 ms after the timeout, since the instance may be
+	// frozen or partitioned. Other callers wait for the response.
+	clientTimeout bool
+	tier          string
+	header        map[string]string
 }
 
-// send sends a request to a daemon and reads the whole answer. The reply of a
-// daemon that doesn't answer is empty.
+// send sends a request to a daemon and reads the response. The reply is empty if no response arrives.
 func (p *process) send(c call) reply {
 	h, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":7001"+c.path, bytes.NewReader([]byte(c.body)))
 	if err != nil {
 		return reply{}
 	}
-	h.GetBody = nil // net/http must not repeat it by itself
+	h.GetBody = nil // net/http must not retry on its own
 	key := c.apiKey
 	if key == "" {
 		key = apiKey
@@ -395,7 +406,7 @@
 	if c.timeout > 0 {
 		set(api.HeaderTimeout, c.timeout.String())
 	}
-	if c.hasty {
+	if c.clientTimeout {
 		client = &http.Client{Transport: client.Transport, Timeout: c.timeout + 300*time.Millisecond}
 	}
 	r, err := client.Do(h)
@@ -404,20 +415,20 @@
 	}
 	defer r.Body.Close()
 	content, err := io.ReadAll(r.Body)
-	out := reply{status: r.StatusCode, body: string(content), header: r.Header, whole: err == nil, outcome: api.Outcome(r.Header.Get(api.HeaderOutcome))}
+	out := reply{status: r.StatusCode, body: string(content), header: r.Header, complete: err == nil, outcome: api.Outcome(r.Header.Get(api.HeaderOutcome))}
 	if last := r.Trailer.Get(api.HeaderOutcome); last != "" {
 		out.outcome = api.Outcome(last)
 	}
 	if r.Header.Get("Content-Type") == api.ProblemContentType {
 		_ = json.Unmarshal(content, &out.problem)
 	}
-	if !out.whole {
+	if !out.complete {
 		out.outcome = ""
 	}
 	return out
 }
 
-// issue gets an issued key from a daemon.
+// issue requests an idempotency key from a daemon.
 func (p *process) issue() string {
 	p.fleet.t.Helper()
 	h, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":7001/v1/idempotency-keys", nil)
@@ -439,8 +450,8 @@
 	return list.Keys[0]
 }
 
-// read gets a page of a daemon's resource API.
-func (p *process) read(path string, into any) {
+// getResource gets a path of the daemon's operators' API. It leaves into unchanged on failure.
+func (p *process) getResource(path string, into any) {
 	r, err := p.fleet.client.Get("http://" + p.ip + ":7002" + path)
 	if err != nil {
 		return
@@ -449,11 +460,12 @@
 	_ = json.UnmarshalRead(r.Body, into)
 }
 
-// startSecure adds a daemon whose listeners may speak TLS, and doesn't wait for it.
-func (f *fleet) startSecure(tune func(*settings.Settings)) {
-	p := &process{fleet: f, ip: f.ip(10), zone: "fort", tune: tune}
-	p.peerWire = f.relay(p.ip+":7004", p.ip+":7003")
-	p.platWire = f.relay(p.ip+":7005", f.ip(1)+":9000")
+// startConfigured adds a daemon with modified settings, such as TLS listeners, and doesn't wait until it
+// is ready.
+func (f *fleet) startConfigured(configure func(*settings.Settings)) {
+	p := &process{fleet: f, ip: f.ip(10), zone: "fort", configure: configure}
+	p.peerRelay = f.relay(p.ip+":7004", p.ip+":7003")
+	p.platformRelay = f.relay(p.ip+":7005", f.ip(1)+":9000")
 	f.daemons = append(f.daemons, p)
 	p.start()
 }
--- a/internal/faults/helpers_test.go
+++ b/internal/faults/helpers_test.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	release = "/services/" + claims + "/release" // declared non-idempotent
-	lookup  = "/services/" + claims + "/lookup"
-	chat    = "/v1/chat/completions"
+	releasePath = "/services/" + claimsService + "/release" // declared non-idempotent
+	lookupPath  = "/services/" + claimsService + "/lookup"
+	chatPath    = "/v1/chat/completions"
 )
 
+// prompt returns the body of a chat completion request for four tokens.
 func prompt(text string, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, modelName, stream, text)
 }
 
-// metric returns the value of a metric of a daemon, 0 when it has none.
+// metric returns the value of a daemon's metric; 0 if it is absent or the daemon doesn't respond.
 func (p *process) metric(name string) float64 {
 	r, err := p.fleet.client.Get("http://" + p.ip + ":7002/metrics")
 	if err != nil {
@@ -41,7 +42,8 @@
 	return 0
 }
 
-func (f *fleet) runs(body string) int {
+// runCount returns how often the service received a call with the given body.
+func (f *fleet) runCount(body string) int {
 	n := 0
 	for _, c := range f.service.Calls() {
 		if c.Body == body {
--- a/internal/faults/idle_test.go
+++ b/internal/faults/idle_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// settling is left out of the measure, observed is its length.
-	settling = 2 * time.Second
-	observed = 5 * time.Second
-	// clockTicks a second, in which /proc counts processor time.
-	clockTicks = 100
+	// warmUp is the time before a measurement, observationTime the length of one.
+	warmUp          = 2 * time.Second
+	observationTime = 5 * time.Second
+	// clockTicksPerSecond is the unit in which /proc counts processor time.
+	clockTicksPerSecond = 100
 )
 
-// BenchmarkIdleDaemon measures what a daemon spends for control while no request
-// comes: processor time, resident memory, and bytes from and to peers and platform.
-// Heartbeats are at their default.
+// BenchmarkIdleDaemon measures the resources that a daemon uses while no requests arrive: processor time,
+// resident memory, and the bytes exchanged with peers and the platform. Heartbeats have their default
+// interval.
 func BenchmarkIdleDaemon(b *testing.B) {
 	for _, daemons := range []int{2, 7, 14} {
 		b.Run(fmt.Sprint("daemons=", daemons), func(b *testing.B) {
@@ -29,43 +29,43 @@
 			for i := range zones {
 				zones[i] = "fort"
 			}
-			f := newTunedFleet(b, func(s *settings.Settings) {
+			f := newConfiguredFleet(b, func(s *settings.Settings) {
 				s.Peers.Heartbeat = settings.Duration(500 * time.Millisecond)
 				s.Peers.SuspectAfter = settings.Duration(2 * time.Second)
 				s.Platform.Wait = settings.Duration(30 * time.Second)
 				s.Log.Level = "info"
 			}, zones...)
 			for b.Loop() {
-				<-time.After(settling)
-				cpu, bytes := f.spent()
-				<-time.After(observed)
-				cpuAfter, bytesAfter := f.spent()
-				b.ReportMetric(100*(cpuAfter-cpu)/observed.Seconds()/float64(daemons), "%core/daemon")
-				b.ReportMetric(float64(bytesAfter-bytes)/observed.Seconds()/float64(daemons), "B/s/daemon")
-				b.ReportMetric(f.daemons[0].resident(), "MB-resident")
+				<-time.After(warmUp)
+				cpu, bytes := f.resourceUse()
+				<-time.After(observationTime)
+				cpuAfter, bytesAfter := f.resourceUse()
+				b.ReportMetric(100*(cpuAfter-cpu)/observationTime.Seconds()/float64(daemons), "%core/daemon")
+				b.ReportMetric(float64(bytesAfter-bytes)/observationTime.Seconds()/float64(daemons), "B/s/daemon")
+				b.ReportMetric(f.daemons[0].residentMB(), "MB-resident")
 			}
 		})
 	}
 }
 
-// spent returns the processor time of all daemons, in seconds, and the bytes that
-// came to them from peers and passed between them and the platform.
-func (f *fleet) spent() (cpu float64, bytes int64) {
+// resourceUse returns the processor time of all daemons, in seconds, and the number of bytes that they
+// exchanged with peers and the platform.
+func (f *fleet) resourceUse() (cpu float64, bytes int64) {
 	for _, p := range f.daemons {
 		content, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 		fields := strings.Fields(string(content))
 		if len(fields) > 14 {
 			user, _ := strconv.ParseFloat(fields[13], 64)
 			system, _ := strconv.ParseFloat(fields[14], 64)
-			cpu += (user + system) / clockTicks
+			cpu += (user + system) / clockTicksPerSecond
 		}
-		bytes += p.peerWire.RelayedBytes() + p.platWire.RelayedBytes()
+		bytes += p.peerRelay.RelayedBytes() + p.platformRelay.RelayedBytes()
 	}
 	return cpu, bytes
 }
 
-// resident returns the resident memory in MB.
-func (p *process) resident() float64 {
+// residentMB returns the resident memory of the daemon, in units of 1024 kB.
+func (p *process) residentMB() float64 {
 	content, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	for line := range strings.Lines(string(content)) {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
--- a/internal/faults/keys_test.go
+++ b/internal/faults/keys_test.go
@@ -11,15 +11,15 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-// An instance that refuses before it has asked the issuer can't know whether
-// another attempt ran.
-func TestRefusalWithoutTheIssuerIsNeverNotRun(t *testing.T) {
+// An instance that refuses a request before it has contacted the issuer of its key can't know whether
+// another attempt ran, so that the outcome is unknown.
+func TestRefusalWithoutIssuerIsNeverNotRun(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newTunedFleet(t, func(s *settings.Settings) { s.Callers.MaxInFlight = 1 }, "fort", "fort")
+	f := newConfiguredFleet(t, func(s *settings.Settings) { s.Callers.MaxInFlight = 1 }, "fort", "fort")
 	issuer, other := f.daemons[0], f.daemons[1]
 	key := issuer.issue()
-	again := call{path: release, body: "a", key: key}
+	again := call{path: releasePath, body: "a", key: key}
 	is.Equal(issuer.send(again).body, service.Answer("a"))
 	uncertain := func(r reply, reason api.Reason) {
 		t.Helper()
@@ -30,40 +30,42 @@
 	tierless := again
 	tierless.tier = "gold"
 	uncertain(other.send(tierless), api.ReasonTierNotAllowed)
-	// The issuer itself, full.
+	// The issuer itself is full.
 	arrived, hold := make(chan service.Call), make(chan struct{})
 	f.service.SetFaults(service.Faults{Arrived: arrived, Hold: hold})
 	held := make(chan reply)
-	go func() { held <- issuer.send(call{path: lookup, body: "b"}) }()
+	go func() { held <- issuer.send(call{path: lookupPath, body: "b"}) }()
 	<-arrived
 	uncertain(issuer.send(again), api.ReasonQueueFull)
 	close(hold)
 	<-held
-	// An instance that has no configuration yet.
+	// The instance has no configuration yet.
 	f.platform.SetDown(true)
-	cut(issuer, other)
+	partition(issuer, other)
 	other.kill()
 	other.start()
-	f.eventually("it listens", func() bool { return other.send(again).status != 0 })
+	f.eventually("the instance listens", func() bool { return other.send(again).status != 0 })
 	uncertain(other.send(again), api.ReasonNoConfiguration)
-	is.Equal(f.runs("a"), 1)
+	is.Equal(f.runCount("a"), 1)
 }
 
+// A caller-chosen ID runs at most once: only an attempt that is marked as the first one may run, and
+// retries find it at any instance.
 func TestCallerChosenIDs(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "fort", "fort", "pettah")
 	first, other := f.daemons[0], f.daemons[2]
 	for name, c := range map[string]struct {
-		before, send *call // sent to first, then send to other
+		before, send *call // before is sent to first, then send to other
 		reason       api.Reason
 		runs         int
 	}{
 		"first attempt runs":                    {nil, &call{attempt: "1"}, "", 1},
-		"a repeat finds it elsewhere":           {&call{attempt: "1"}, &call{attempt: "2"}, "", 1},
-		"an unmarked one finds it":              {&call{attempt: "1"}, &call{}, "", 1},
-		"OpenAI's mark counts":                  {nil, &call{header: map[string]string{api.HeaderRetryCount: "0"}}, "", 1},
-		"a repeat nobody holds":                 {nil, &call{attempt: "2"}, api.ReasonNotFirstAttempt, 0},
-		"an unmarked one nobody holds":          {nil, &call{}, api.ReasonNotFirstAttempt, 0},
+		"a retry finds it elsewhere":            {&call{attempt: "1"}, &call{attempt: "2"}, "", 1},
+		"an unmarked attempt finds it":          {&call{attempt: "1"}, &call{}, "", 1},
+		"OpenAI's retry count marks it":         {nil, &call{header: map[string]string{api.HeaderRetryCount: "0"}}, "", 1},
+		"a retry of an unknown ID":              {nil, &call{attempt: "2"}, api.ReasonNotFirstAttempt, 0},
+		"an unmarked attempt of an unknown ID":  {nil, &call{}, api.ReasonNotFirstAttempt, 0},
 		"another body under the ID":             {&call{attempt: "1"}, &call{attempt: "2", body: "changed"}, api.ReasonKeyMismatch, 1},
 		"not allowed to the other organisation": {nil, &call{attempt: "1", apiKey: otherKey}, api.ReasonKeyRequired, 0},
 	} {
@@ -71,7 +73,7 @@
 			is := is.New(t)
 			id := "id of " + name
 			with := func(c *call) call {
-				c.path, c.key = release, id
+				c.path, c.key = releasePath, id
 				if c.body == "" {
 					c.body = name
 				}
@@ -85,33 +87,33 @@
 			if c.reason == "" {
 				is.Equal(r.body, service.Answer(name))
 			}
-			is.Equal(f.runs(name), c.runs)
-			is.Equal(f.runs("changed"), 0)
+			is.Equal(f.runCount(name), c.runs)
+			is.Equal(f.runCount("changed"), 0)
 		})
 	}
 }
 
-// A plain caller without a key needs one more round trip and nothing else.
-func TestKeyIsGivenWith428(t *testing.T) {
+// A caller without a key receives one with status 428, and has to send the request once more with it.
+func TestKeyIsIssuedWith428(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
-	r := f.daemons[0].send(call{path: release, body: "a"})
+	r := f.daemons[0].send(call{path: releasePath, body: "a"})
 	is.Equal(r.status, http.StatusPreconditionRequired)
 	is.Equal(r.outcome, api.NotRun)
 	key := r.problem.IdempotencyKey
-	is.Equal(f.daemons[1].send(call{path: release, body: "a", key: key}).body, service.Answer("a"))
+	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.Answer("a"))
 	for name, c := range map[string]call{
-		"another body":         {path: release, body: "b", key: key},
-		"another organisation": {path: release, body: "a", key: key, apiKey: otherKey},
+		"another body":         {path: releasePath, body: "b", key: key},
+		"another organisation": {path: releasePath, body: "a", key: key, apiKey: otherKey},
 	} {
 		for _, p := range f.daemons {
-			is.Equal(p.send(c).problem.Reason, api.ReasonKeyMismatch) // a stranger never sees the answer
+			is.Equal(p.send(c).problem.Reason, api.ReasonKeyMismatch) // no other request or organisation sees the response
 		}
 		_ = name
 	}
 	forged := key[:len(key)-4] + "AAAA"
-	is.Equal(f.daemons[0].send(call{path: release, body: "f", key: forged}).problem.Reason, api.ReasonKeyInvalid)
-	is.Equal(f.runs("a"), 1)
-	is.Equal(f.runs("b")+f.runs("f"), 0)
+	is.Equal(f.daemons[0].send(call{path: releasePath, body: "f", key: forged}).problem.Reason, api.ReasonKeyInvalid)
+	is.Equal(f.runCount("a"), 1)
+	is.Equal(f.runCount("b")+f.runCount("f"), 0)
 }
--- a/internal/faults/matrix_test.go
+++ b/internal/faults/matrix_test.go
@@ -15,7 +15,7 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-// step is how far a request has come when the fault strikes.
+// step is the step that a request has reached when the fault is injected.
 type step string
 
 const (
@@ -31,24 +31,24 @@
 
 var steps = []step{keyIssued, forwarded, queued, written, firstByte, midStream, answered, draining}
 
-// fault is what strikes, and how it ends. Heal is nil where it doesn't.
+// fault injects a fault and heals it. heal is nil where the fault doesn't end.
 type fault struct {
 	name   string
-	strike func(c *cell)
+	inject func(c *cell)
 	heal   func(c *cell)
 }
 
 var faults = []fault{
 	{"kill", func(c *cell) { c.issuer().kill() }, nil},
-	{"freeze and wake", func(c *cell) { c.issuer().freeze() }, func(c *cell) { c.issuer().wake() }},
-	{"zone cut",
-		func(c *cell) { cut(c.issuer(), c.entry()); cut(c.issuer(), c.far()) },
-		func(c *cell) { heal(c.issuer(), c.entry()); heal(c.issuer(), c.far()) }},
-	{"platform cut", func(c *cell) { c.issuer().platWire.Partition("") }, func(c *cell) { c.issuer().platWire.Heal("") }},
+	{"freeze and resume", func(c *cell) { c.issuer().freeze() }, func(c *cell) { c.issuer().resume() }},
+	{"partition",
+		func(c *cell) { partition(c.issuer(), c.entry()); partition(c.issuer(), c.otherZone()) },
+		func(c *cell) { heal(c.issuer(), c.entry()); heal(c.issuer(), c.otherZone()) }},
+	{"platform partition", func(c *cell) { c.issuer().platformRelay.Partition("") }, func(c *cell) { c.issuer().platformRelay.Heal("") }},
 	{"platform stale", func(c *cell) { c.fleet.publish(0 + 1) }, func(c *cell) { c.fleet.publish(9) }},
-	{"upstream slow", func(c *cell) {}, nil}, // the stand-in holds its answer until after the repeats
-	{"upstream leaving", func(c *cell) { c.leave() }, nil},
-	{"late answer", func(c *cell) { c.repeat(150 * time.Millisecond) }, nil},
+	{"upstream slow", func(c *cell) {}, nil}, // the fake holds its response until after the retries
+	{"upstream leaving", func(c *cell) { c.markLeaving() }, nil},
+	{"late response", func(c *cell) { c.sendToAll(150 * time.Millisecond) }, nil},
 	{"operator race", func(c *cell) {
 		c.fleet.platform.Publish(5, document("one"))
 		c.fleet.platform.Publish(5, document("two"))
@@ -56,51 +56,53 @@
 	}, nil},
 }
 
-// pairs are faults that strike together or twice.
-var pairs = []fault{
+// combinedFaults are faults that are injected together or twice.
+var combinedFaults = []fault{
 	{"freeze twice",
 		func(c *cell) {
 			c.issuer().freeze()
-			c.repeat(100 * time.Millisecond)
-			c.issuer().wake()
+			c.sendToAll(100 * time.Millisecond)
+			c.issuer().resume()
 			c.issuer().freeze()
 		},
-		func(c *cell) { c.issuer().wake() }},
-	{"kill during a cut",
-		func(c *cell) { cut(c.issuer(), c.entry()); c.issuer().kill() },
+		func(c *cell) { c.issuer().resume() }},
+	{"kill during a partition",
+		func(c *cell) { partition(c.issuer(), c.entry()); c.issuer().kill() },
 		func(c *cell) { heal(c.issuer(), c.entry()) }},
-	{"freeze over a configuration change",
+	{"freeze during a configuration change",
 		func(c *cell) { c.issuer().freeze(); c.fleet.publish(7) },
-		func(c *cell) { c.issuer().wake() }},
-	{"kill and return at the same address",
+		func(c *cell) { c.issuer().resume() }},
+	{"kill and restart at the same address",
 		func(c *cell) { c.issuer().kill() },
 		func(c *cell) { c.issuer().start(); c.issuer().waitReady() }},
-	{"platform down and zone cut",
-		func(c *cell) { c.fleet.platform.SetDown(true); cut(c.issuer(), c.entry()) },
+	{"platform down and partition",
+		func(c *cell) { c.fleet.platform.SetDown(true); partition(c.issuer(), c.entry()) },
 		func(c *cell) { c.fleet.platform.SetDown(false); heal(c.issuer(), c.entry()) }},
 }
 
 // cell is one request under one fault at one step.
 type cell struct {
-	fleet   *fleet
-	record  *history.Recorder
-	at      step
-	key     string
-	body    string
-	model   bool
-	arrived chan service.Call
-	release chan struct{}
-	once    sync.Once
-	sent    sync.WaitGroup
-	fillers int
+	fleet       *fleet
+	recorder    *history.Recorder
+	step        step
+	key         string
+	body        string
+	model       bool
+	arrived     chan service.Call
+	hold        chan struct{}
+	releaseOnce sync.Once
+	sent        sync.WaitGroup
+	fillers     int
 }
 
-func (c *cell) issuer() *process { return c.fleet.daemons[0] }
-func (c *cell) entry() *process  { return c.fleet.daemons[1] }
-func (c *cell) far() *process    { return c.fleet.daemons[2] }
+func (c *cell) issuer() *process    { return c.fleet.daemons[0] }
+func (c *cell) entry() *process     { return c.fleet.daemons[1] }
+func (c *cell) otherZone() *process { return c.fleet.daemons[2] }
 
+// Each fault is injected at each step of a request, while the request is retried at every instance. The
+// history must be that of a register that accepts each key at most once, with only correct responses.
 func TestFaultMatrix(t *testing.T) {
-	for _, f := range append(append([]fault{}, faults...), pairs...) {
+	for _, f := range append(append([]fault{}, faults...), combinedFaults...) {
 		for _, s := range steps {
 			t.Run(f.name+"/"+string(s), func(t *testing.T) {
 				t.Parallel()
@@ -112,11 +114,11 @@
 
 func runCell(t *testing.T, f fault, s step) {
 	c := &cell{
-		fleet:   newTunedFleet(t, func(s *settings.Settings) { s.Platform.Wait = settings.Duration(time.Second) }, "fort", "fort", "pettah"),
-		record:  history.NewRecorder(),
-		at:      s,
-		arrived: make(chan service.Call, 64),
-		release: make(chan struct{}),
+		fleet:    newConfiguredFleet(t, func(s *settings.Settings) { s.Platform.Wait = settings.Duration(time.Second) }, "fort", "fort", "pettah"),
+		recorder: history.NewRecorder(),
+		step:     s,
+		arrived:  make(chan service.Call, 64),
+		hold:     make(chan struct{}),
 	}
 	c.key = c.issuer().issue()
 	c.body = "release " + c.key[len(c.key)-12:]
@@ -124,72 +126,73 @@
 	if c.model {
 		c.body = fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":5,"messages":[{"role":"user","content":%q}]}`, modelName, c.body)
 	}
-	c.record.ExpectBody(c.body, c.whole())
+	c.recorder.ExpectBody(c.body, c.expectedResponse())
 	c.drive()
-	f.strike(c)
-	c.repeat(400 * time.Millisecond)
-	c.letGo()
+	f.inject(c)
+	c.sendToAll(400 * time.Millisecond)
+	c.releaseUpstreams()
 	if f.heal != nil {
 		f.heal(c)
 	}
-	c.repeat(2 * time.Second)
+	c.sendToAll(2 * time.Second)
 	c.sent.Wait()
 	c.check(t)
 }
 
-// drive brings the request to its step.
+// drive sends the request and blocks until it has reached its step.
 func (c *cell) drive() {
 	f := c.fleet
-	switch c.at {
+	switch c.step {
 	case keyIssued:
 	case forwarded:
 		c.issuer().freeze()
-		c.sendLater(c.entry())
-		c.issuer().wake()
+		c.sendAsync(c.entry())
+		c.issuer().resume()
 	case queued:
 		c.holdService()
 		c.fill()
-		c.sendLater(c.entry())
+		c.sendAsync(c.entry())
 		f.eventually("the request is queued", func() bool { return c.issuer().status().InFlight > c.fillers })
 	case written:
 		c.holdService()
-		c.sendLater(c.entry())
+		c.sendAsync(c.entry())
 		c.awaitArrival()
 	case firstByte:
-		f.engine.SetFaults(engine.Faults{HoldToken: c.release})
-		c.sendLater(c.entry())
-		f.eventually("the engine runs it", func() bool { return len(f.engine.Runs()) == 1 })
+		f.engine.SetFaults(engine.Faults{HoldToken: c.hold})
+		c.sendAsync(c.entry())
+		f.eventually("the engine runs the request", func() bool { return len(f.engine.Runs()) == 1 })
 	case midStream:
-		f.engine.SetFaults(engine.Faults{HoldToken: c.release})
-		c.sendLater(c.entry())
+		f.engine.SetFaults(engine.Faults{HoldToken: c.hold})
+		c.sendAsync(c.entry())
 		for range 2 {
-			c.release <- struct{}{}
+			c.hold <- struct{}{}
 		}
 	case answered:
 		c.send(c.entry(), 5*time.Second)
 	case draining:
 		c.holdService()
-		c.sendLater(c.entry())
+		c.sendAsync(c.entry())
 		c.awaitArrival()
 		c.issuer().signal(syscall.SIGTERM)
 		f.eventually("the issuer drains", func() bool { return c.issuer().status().Draining })
 	}
 }
 
+// holdService makes the service hold its responses until releaseUpstreams.
 func (c *cell) holdService() {
-	c.fleet.service.SetFaults(service.Faults{Arrived: c.arrived, Hold: c.release})
+	c.fleet.service.SetFaults(service.Faults{Arrived: c.arrived, Hold: c.hold})
 }
 
-// fill occupies the service with other requests until one more has to wait.
+// fill occupies the service with other requests, so that the next one is queued.
 func (c *cell) fill() {
 	for c.fillers = 0; ; {
 		key := c.issuer().issue()
 		before := c.fillers
 		c.fillers++
 		c.sent.Go(func() {
-			c.issuer().send(call{path: "/services/" + claims + "/release", body: "filler " + key, key: key, timeout: 5 * time.Second})
+			c.issuer().send(call{path: "/services/" + claimsService + "/release", body: "filler " + key, key: key, timeout: 5 * time.Second})
 		})
-		c.fleet.eventually("a filler is held", func() bool { return c.issuer().status().InFlight == before+1 })
+		c.fleet.eventually("the filler is in flight", func() bool { return c.issuer().status().InFlight == before+1 })
 		if c.fillers > 8 {
 			break
 		}
@@ -199,6 +202,7 @@
 	}
 }
 
+// awaitArrival blocks until the request reaches the service.
 func (c *cell) awaitArrival() {
 	for call := range c.arrived {
 		if call.Body == c.body {
@@ -207,10 +211,11 @@
 	}
 }
 
-// letGo lets the stand-ins finish what they hold.
-func (c *cell) letGo() { c.once.Do(func() { close(c.release) }) }
+// releaseUpstreams lets the fakes finish the requests that they hold.
+func (c *cell) releaseUpstreams() { c.releaseOnce.Do(func() { close(c.hold) }) }
 
-func (c *cell) leave() {
+// markLeaving marks all upstreams of the issuer's zone as leaving in the instance list.
+func (c *cell) markLeaving() {
 	list := append([]platform.Instance(nil), c.fleet.list...)
 	for i := range list {
 		if list[i].Set != "" && list[i].Zone == c.issuer().zone {
@@ -220,12 +225,12 @@
 	c.fleet.platform.SetInstances(list)
 }
 
-func (c *cell) sendLater(p *process) {
+func (c *cell) sendAsync(p *process) {
 	c.sent.Go(func() { c.send(p, 5*time.Second) })
 }
 
-// repeat sends the request to every daemon at once and waits for the answers.
-func (c *cell) repeat(timeout time.Duration) {
+// sendToAll sends the request to every daemon concurrently and waits for the responses.
+func (c *cell) sendToAll(timeout time.Duration) {
 	var all sync.WaitGroup
 	for _, p := range c.fleet.daemons {
 		all.Go(func() { c.send(p, timeout) })
@@ -234,20 +239,21 @@
 }
 
 func (c *cell) send(p *process, timeout time.Duration) {
-	path := "/services/" + claims + "/release"
+	path := "/services/" + claimsService + "/release"
 	if c.model {
 		path = "/v1/chat/completions"
 	}
-	begun := time.Now()
-	r := p.send(call{path: path, body: c.body, key: c.key, timeout: timeout, hasty: true})
+	started := time.Now()
+	r := p.send(call{path: path, body: c.body, key: c.key, timeout: timeout, clientTimeout: true})
 	if r.outcome == "" {
 		return
 	}
-	c.record.RecordAttempt(history.Attempt{Key: c.body, Outcome: r.outcome, Reason: r.problem.Reason, Body: text(r.body), Sent: begun, Received: time.Now()})
+	c.recorder.RecordAttempt(history.Attempt{Key: c.body, Outcome: r.outcome, Reason: r.problem.Reason, Body: streamText(r.body), Sent: started, Received: time.Now()})
 }
 
-// text leaves out the event IDs of a stream, which name the run and not its content.
-func text(body string) string {
+// streamText returns the text of a stream without the event IDs, which identify the run and not its
+// content. Another body is returned unchanged.
+func streamText(body string) string {
 	var out []string
 	for _, line := range strings.Split(body, "\n") {
 		if i := strings.Index(line, `"text":"`); i >= 0 {
@@ -261,7 +267,8 @@
 	return strings.Join(out, "")
 }
 
-func (c *cell) whole() string {
+// expectedResponse returns the only correct response to the request.
+func (c *cell) expectedResponse() string {
 	if !c.model {
 		return service.Answer(c.body)
 	}
@@ -272,23 +279,23 @@
 	return out
 }
 
-// check reads the history: what the stand-ins saw and what callers were told.
+// check adds the runs that the fakes recorded to the history and checks it.
 func (c *cell) check(t *testing.T) {
 	t.Helper()
 	for _, call := range c.fleet.service.Calls() {
 		if call.Body == c.body {
-			c.record.RecordDispatch(history.Dispatch{Key: c.body, At: call.At})
+			c.recorder.RecordDispatch(history.Dispatch{Key: c.body, At: call.At})
 		}
 	}
 	for _, run := range c.fleet.engine.Runs() {
 		if run.Body == c.body {
-			c.record.RecordDispatch(history.Dispatch{Key: c.body, At: run.At})
+			c.recorder.RecordDispatch(history.Dispatch{Key: c.body, At: run.At})
 		}
 	}
-	for _, v := range c.record.Check() {
+	for _, v := range c.recorder.Check() {
 		t.Errorf("%v", v)
 	}
-	if !c.record.Linearizable() {
-		t.Error("the history is not that of a register that takes each key at most once")
+	if !c.recorder.Linearizable() {
+		t.Error("the history isn't that of a register that accepts each key at most once")
 	}
 }
--- a/internal/faults/membership_test.go
+++ b/internal/faults/membership_test.go
@@ -15,14 +15,14 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-// An instance that the list lacks, because it lags, is linked to all the same: by
-// those who knew it, and by one that starts later and hears from it first.
-func TestInstanceMissingFromTheListIsReached(t *testing.T) {
+// An instance that is missing from a stale instance list is still linked: by the instances that knew it,
+// and by one that starts later and that it contacts first.
+func TestInstanceMissingFromListIsReached(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newTunedFleet(t, func(s *settings.Settings) {
+	f := newConfiguredFleet(t, func(s *settings.Settings) {
 		if strings.HasSuffix(s.Peers.Address, ".11:7003") {
-			s.Peers.Seeds = nil // knows what the list and others tell it
+			s.Peers.Seeds = nil // knows only the list and what peers send
 		}
 	}, "fort", "fort")
 	missing, other := f.daemons[0], f.daemons[1]
@@ -30,17 +30,17 @@
 		return i.Address == missing.ip+":7004"
 	}))
 	f.eventually("the list is in use", func() bool { return other.status().ListVersion == 2 })
-	is.Equal(other.send(call{path: release, body: "a", key: missing.issue()}).body, service.Answer("a"))
+	is.Equal(other.send(call{path: releasePath, body: "a", key: missing.issue()}).body, service.Answer("a"))
 	other.kill()
 	other.start()
 	other.waitReady()
-	f.eventually("it is linked to", func() bool { return other.reachable() == 1 })
-	is.Equal(other.send(call{path: release, body: "b", key: missing.issue()}).body, service.Answer("b"))
+	f.eventually("the missing instance is linked", func() bool { return other.reachable() == 1 })
+	is.Equal(other.send(call{path: releasePath, body: "b", key: missing.issue()}).body, service.Answer("b"))
 }
 
-// A peer that returns at the same address is another incarnation: keys of the old
-// one are told at once that they can't run, and new ones work.
-func TestReturnedPeerIsAnotherIncarnation(t *testing.T) {
+// A peer that restarts at the same address is a new incarnation. Requests with keys of the old one are
+// refused immediately, and new keys work.
+func TestRestartedPeerIsNewIncarnation(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
@@ -51,24 +51,24 @@
 	issuer.waitReady()
 	f.waitLinked()
 	for _, p := range f.daemons {
-		r := p.send(call{path: release, body: "a", key: old, timeout: 10 * time.Second})
+		r := p.send(call{path: releasePath, body: "a", key: old, timeout: 10 * time.Second})
 		is.Equal(r.problem.Reason, api.ReasonIssuerGone)
 		is.Equal(r.outcome, api.Unknown)
 	}
-	is.Equal(f.runs("a"), 0)
-	is.Equal(other.send(call{path: release, body: "b", key: issuer.issue()}).body, service.Answer("b"))
+	is.Equal(f.runCount("a"), 0)
+	is.Equal(other.send(call{path: releasePath, body: "b", key: issuer.issue()}).body, service.Answer("b"))
 }
 
-// A stream whose deadline has passed is cancelled at its engine; one whose caller
-// went away isn't, since it may be resumed.
-func TestStreamPastItsDeadlineIsCancelled(t *testing.T) {
+// A stream whose deadline has passed is cancelled at its engine. A stream whose caller has left isn't,
+// since it may be resumed.
+func TestStreamPastDeadlineIsCancelled(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort")
 	hold := make(chan struct{})
 	f.engine.SetFaults(engine.Faults{HoldToken: hold})
-	r := f.daemons[0].send(call{path: chat, body: prompt("late", true), timeout: 300 * time.Millisecond})
+	r := f.daemons[0].send(call{path: chatPath, body: prompt("late", true), timeout: 300 * time.Millisecond})
 	is.Equal(r.outcome, api.Unknown)
 	is.True(strings.Contains(r.body, string(api.ReasonUpstreamTimeout)))
-	f.eventually("the engine is told", func() bool { return f.engine.Cancelled() == 1 })
+	f.eventually("the engine has cancelled the stream", func() bool { return f.engine.Cancelled() == 1 })
 }
--- a/internal/faults/orglimit_test.go
+++ b/internal/faults/orglimit_test.go
@@ -9,8 +9,8 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// An organisation past its tokens a second is refused at once with a time to come
-// back, and another isn't touched.
+// An organisation that exceeds its tokens per second is refused immediately with a time after which to
+// retry. Other organisations aren't affected.
 func TestOrganisationLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -23,10 +23,10 @@
 	f.platform.Publish(2, content)
 	p := f.daemons[0]
 	f.eventually("the limit is in force", func() bool { return p.status().Revision == 2 })
-	is.Equal(p.send(call{path: chat, body: prompt("a long dossier", true)}).outcome, api.Answered) // into debt
-	r := p.send(call{path: chat, body: prompt("another", true)})
+	is.Equal(p.send(call{path: chatPath, body: prompt("a long dossier", true)}).outcome, api.Answered) // drives the bucket negative
+	r := p.send(call{path: chatPath, body: prompt("another", true)})
 	is.Equal(r.problem.Reason, api.ReasonOrganisationLimit)
 	is.Equal(r.outcome, api.NotRun)
 	is.True(r.problem.RetryAfterSeconds > 1)
-	is.Equal(p.send(call{path: chat, body: prompt("another", true), apiKey: otherKey}).outcome, api.Answered)
+	is.Equal(p.send(call{path: chatPath, body: prompt("another", true), apiKey: otherKey}).outcome, api.Answered)
 }
--- a/internal/faults/parts_test.go
+++ b/internal/faults/parts_test.go
@@ -11,15 +11,15 @@
 	"github.com/tacktally/tacktally/internal/config"
 )
 
-// The organisations of the target don't fit one value. They are published in parts,
-// come into force everywhere, also at an instance that only its peers reach, and a
-// change whose part isn't there yet waits for it.
-func TestOrganisationsInParts(t *testing.T) {
+// The target number of organisations exceeds the size of one configuration value, so that they are
+// published in parts. They take effect at every instance, also at one that only its peers reach. A
+// revision whose part isn't available yet takes effect once it is.
+func TestConfigurationPartsTakeEffectEverywhere(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const organisations, parts = 12_000, 16
 	f := newFleet(t, "fort", "fort")
-	f.daemons[1].platWire.Partition("")
+	f.daemons[1].platformRelay.Partition("")
 	var refs []string
 	publish := func(n int, salt string, late bool) {
 		var list []string
@@ -38,8 +38,8 @@
 			f.platform.PublishPart(key, content)
 			return
 		}
-		f.platform.Publish(3, f.withRefs("three", refs))
-		f.eventually("the part is missed", func() bool {
+		f.platform.Publish(3, f.documentWithParts("three", refs))
+		f.eventually("the missing part is reported", func() bool {
 			return f.daemons[0].metric("tacktally_config_parts_missing_total") > 0
 		})
 		is.Equal(f.daemons[0].status().Revision, int64(2))
@@ -48,7 +48,7 @@
 	for n := range parts {
 		publish(n, "a", false)
 	}
-	f.platform.Publish(2, f.withRefs("two", refs))
+	f.platform.Publish(2, f.documentWithParts("two", refs))
 	inForce := func(revision int64) {
 		for _, p := range f.daemons {
 			f.eventually("the revision is in force", func() bool { return p.status().Revision == revision })
@@ -56,17 +56,17 @@
 	}
 	inForce(2)
 	for _, p := range f.daemons {
-		is.Equal(p.send(call{path: lookup, body: "q", apiKey: "a11999"}).outcome, api.Answered)
+		is.Equal(p.send(call{path: lookupPath, body: "q", apiKey: "a11999"}).outcome, api.Answered)
 	}
 	publish(7, "b", true)
 	inForce(3)
 	for _, p := range f.daemons {
-		is.Equal(p.send(call{path: lookup, body: "q", apiKey: "b7"}).outcome, api.Answered)
-		is.Equal(p.send(call{path: lookup, body: "q", apiKey: "a7"}).problem.Reason, api.ReasonUnknownAPIKey)
+		is.Equal(p.send(call{path: lookupPath, body: "q", apiKey: "b7"}).outcome, api.Answered)
+		is.Equal(p.send(call{path: lookupPath, body: "q", apiKey: "a7"}).problem.Reason, api.ReasonUnknownAPIKey)
 	}
 }
 
-// withRefs is the fleet's document with references to parts.
-func (f *fleet) withRefs(note string, refs []string) []byte {
+// documentWithParts returns the configuration with references to parts.
+func (f *fleet) documentWithParts(note string, refs []string) []byte {
 	return []byte(strings.Replace(string(document(note)), "{", `{"parts":[`+strings.Join(refs, ",")+`],`, 1))
 }
--- a/internal/faults/random_test.go
+++ b/internal/faults/random_test.go
@@ -19,36 +19,35 @@
 	randomSeed = flag.Uint64("random-seed", 1, "seed of the first random run")
 )
 
-// Callers send and repeat requests through every instance while faults come and
-// go at random; the history must hold the promises. A number of runs is made in
-// CI, more with -random-runs.
+// Callers send and retry requests through every instance while random faults are injected and healed; the
+// history must satisfy the guarantees. -random-runs sets the number of runs.
 func TestRandomConcurrentRuns(t *testing.T) {
 	for n := range *randomRuns {
 		seed := *randomSeed + uint64(n)
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			runRandomly(t, seed)
+			runRandomCase(t, seed)
 		})
 	}
 }
 
 const (
 	randomCallers  = 6
-	randomRequests = 40 // of each caller
+	randomRequests = 40 // per caller
 	randomFaults   = 10
 )
 
-func runRandomly(t *testing.T, seed uint64) {
+func runRandomCase(t *testing.T, seed uint64) {
 	f := newFleet(t, "fort", "fort", "pettah")
-	record := history.NewRecorder()
+	recorder := history.NewRecorder()
 	var callers sync.WaitGroup
 	done := make(chan struct{})
 	for i := range randomCallers {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
 		callers.Go(func() {
 			for n := range randomRequests {
-				<-time.After(time.Duration(random.IntN(40)) * time.Millisecond) // spread over the faults
-				f.sendRandomly(record, random, i, newTask(random, fmt.Sprintf("request %d of caller %d", n, i)))
+				<-time.After(time.Duration(random.IntN(40)) * time.Millisecond) // spreads the requests over the faults
+				f.sendWithRetries(recorder, random, i, newTask(random, fmt.Sprintf("request %d of caller %d", n, i)))
 			}
 		})
 	}
@@ -56,33 +55,33 @@
 		callers.Wait()
 		close(done)
 	}()
-	f.strikeRandomly(rand.New(rand.NewPCG(seed, 99)), done)
+	f.injectRandomFaults(rand.New(rand.NewPCG(seed, 99)), done)
 	<-done
 	f.service.SetFaults(service.Faults{})
 	for _, c := range f.service.Calls() {
-		record.RecordDispatch(history.Dispatch{Key: c.Body, At: c.At})
+		recorder.RecordDispatch(history.Dispatch{Key: c.Body, At: c.At})
 	}
 	for _, r := range f.engine.Runs() {
-		record.RecordDispatch(history.Dispatch{Key: r.Body, At: r.At})
+		recorder.RecordDispatch(history.Dispatch{Key: r.Body, At: r.At})
 	}
-	t.Logf("seed %d: %s", seed, record.Summary())
-	for _, v := range record.Check() {
+	t.Logf("seed %d: %s", seed, recorder.Summary())
+	for _, v := range recorder.Check() {
 		t.Errorf("seed %d: %v", seed, v)
 	}
-	if !record.Linearizable() {
-		t.Errorf("seed %d: the history is not that of a register that takes each key at most once", seed)
+	if !recorder.Linearizable() {
+		t.Errorf("seed %d: the history isn't that of a register that accepts each key at most once", seed)
 	}
 	for _, p := range f.daemons {
-		f.eventually(fmt.Sprintf("seed %d: nothing is left over at %s", seed, p.ip), p.isIdle)
+		f.eventually(fmt.Sprintf("seed %d: %s is idle", seed, p.ip), p.isIdle)
 	}
 }
 
-// isIdle tells whether a daemon holds no request and counts none as outstanding.
+// isIdle reports whether a daemon has no request in flight and counts none as outstanding at an upstream.
 func (p *process) isIdle() bool {
 	if s := p.status(); s.Revision == 0 || s.InFlight > 0 {
 		return false
 	}
-	for _, path := range []string{"/v1/resources/Service/" + claims, "/v1/resources/EngineSet/" + readers} {
+	for _, path := range []string{"/v1/resources/Service/" + claimsService, "/v1/resources/EngineSet/" + readerEngines} {
 		var r struct {
 			Status struct {
 				Upstreams []struct {
@@ -91,7 +90,7 @@
 				} `json:"upstreams"`
 			} `json:"status"`
 		}
-		p.read(path, &r)
+		p.getResource(path, &r)
 		for _, u := range r.Status.Upstreams {
 			if u.Running != 0 || u.Pending != 0 {
 				return false
@@ -101,42 +100,41 @@
 	return true
 }
 
-// task is what one request asks for, and the only right answer.
+// task is one request, and the only correct response.
 type task struct {
-	path, body, answer string
-	nonIdempotent      map[string]string // header of one that isn't declared so
+	path, body, response string
+	nonIdempotent        map[string]string // header that marks a request whose path isn't declared non-idempotent
 }
 
-// newTask is a call that may not be repeated, or a streamed model request that may
-// not be.
+// newTask returns a call or a streamed model request at random. Both may run at most once.
 func newTask(random *rand.Rand, name string) task {
 	if random.IntN(2) == 0 {
-		return task{path: release, body: name, answer: service.Answer(name)}
+		return task{path: releasePath, body: name, response: service.Answer(name)}
 	}
 	body := prompt(name, true)
-	whole := ""
+	want := ""
 	for n := 1; n <= 4; n++ {
-		whole += engine.Token([]byte(body), n)
+		want += engine.Token([]byte(body), n)
 	}
-	return task{path: chat, body: body, answer: whole, nonIdempotent: map[string]string{api.HeaderNonIdempotent: "true"}}
+	return task{path: chatPath, body: body, response: want, nonIdempotent: map[string]string{api.HeaderNonIdempotent: "true"}}
 }
 
-// sendRandomly sends one request under one key up to four times, at times twice at
-// once, through any instances.
-func (f *fleet) sendRandomly(record *history.Recorder, random *rand.Rand, caller int, do task) {
-	key, ok := f.issueAnywhere(random)
+// sendWithRetries sends one request with one key up to four times, some of them concurrently, each to a
+// random instance.
+func (f *fleet) sendWithRetries(recorder *history.Recorder, random *rand.Rand, caller int, do task) {
+	key, ok := f.issueFromAnyInstance(random)
 	if !ok {
 		return
 	}
-	record.ExpectBody(do.body, do.answer)
+	recorder.ExpectBody(do.body, do.response)
 	var all sync.WaitGroup
 	for range 1 + random.IntN(4) {
 		p := f.daemons[random.IntN(len(f.daemons))]
 		send := func() {
-			begun := time.Now()
-			r := p.send(call{path: do.path, body: do.body, key: key, timeout: 300 * time.Millisecond, hasty: true, header: do.nonIdempotent})
+			started := time.Now()
+			r := p.send(call{path: do.path, body: do.body, key: key, timeout: 300 * time.Millisecond, clientTimeout: true, header: do.nonIdempotent})
 			if r.outcome != "" {
-				record.RecordAttempt(history.Attempt{Key: do.body, Caller: caller, Outcome: r.outcome, Reason: r.problem.Reason, Body: text(r.body), Sent: begun, Received: time.Now()})
+				recorder.RecordAttempt(history.Attempt{Key: do.body, Caller: caller, Outcome: r.outcome, Reason: r.problem.Reason, Body: streamText(r.body), Sent: started, Received: time.Now()})
 			}
 		}
 		if random.IntN(2) == 0 {
@@ -148,11 +146,11 @@
 	all.Wait()
 }
 
-// issueAnywhere asks instances in turn for a key, and gives up after some.
-func (f *fleet) issueAnywhere(random *rand.Rand) (string, bool) {
+// issueFromAnyInstance requests a key from random instances. It gives up after 5 attempts.
+func (f *fleet) issueFromAnyInstance(random *rand.Rand) (string, bool) {
 	for range 5 {
 		p := f.daemons[random.IntN(len(f.daemons))]
-		r := p.send(call{path: release, body: "x", timeout: 300 * time.Millisecond, hasty: true})
+		r := p.send(call{path: releasePath, body: "x", timeout: 300 * time.Millisecond, clientTimeout: true})
 		if r.problem.IdempotencyKey != "" {
 			return r.problem.IdempotencyKey, true
 		}
@@ -160,8 +158,8 @@
 	return "", false
 }
 
-// strikeRandomly lets faults come and go until the callers are done.
-func (f *fleet) strikeRandomly(random *rand.Rand, done <-chan struct{}) {
+// injectRandomFaults injects and heals random faults until randomFaults are over or the callers are done.
+func (f *fleet) injectRandomFaults(random *rand.Rand, done <-chan struct{}) {
 	tick := time.NewTicker(60 * time.Millisecond)
 	defer tick.Stop()
 	for n := range randomFaults {
@@ -179,9 +177,9 @@
 		case 1:
 			a.freeze()
 			<-tick.C
-			a.wake()
+			a.resume()
 		case 2:
-			cut(a, b)
+			partition(a, b)
 			<-tick.C
 			heal(a, b)
 		case 3:
@@ -193,15 +191,15 @@
 		case 7:
 			f.engine.SetFaults(engine.Faults{TruncateAfter: 1 + random.IntN(3)})
 		case 9:
-			f.platform.SetInstances(f.list) // the same under a new version
+			f.platform.SetInstances(f.list) // the same list with a new version
 		case 8:
 			f.engine.SetFaults(engine.Faults{Garbage: n%2 == 0, Refuse: n%2 == 1})
 			<-tick.C
 			f.engine.SetFaults(engine.Faults{})
 		case 6:
-			a.platWire.Partition("")
+			a.platformRelay.Partition("")
 			<-tick.C
-			a.platWire.Heal("")
+			a.platformRelay.Heal("")
 		}
 	}
 }
--- /dev/null
+++ b/internal/faults/responses_test.go
@@ -0,0 +1,156 @@
+package faults
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/tacktally/tacktally/api"
+	"github.com/tacktally/tacktally/internal/standin/engine"
+	"github.com/tacktally/tacktally/internal/standin/service"
+)
+
+// A partitioned zone goes on serving. A key that the other side issued is refused immediately, and works
+// again after the partition.
+func TestPartitionedZoneGoesOnServing(t *testing.T) {
+	t.Parallel()
+	is := is.New(t)
+	f := newFleet(t, "fort", "fort", "pettah")
+	isolated := f.daemons[2]
+	old := f.daemons[0].issue()
+	for _, p := range f.daemons[:2] {
+		partition(isolated, p)
+	}
+	isolated.platformRelay.Partition("")
+	f.eventually("the instance is isolated", func() bool { return isolated.reachable() == 0 })
+	is.Equal(isolated.send(call{path: lookupPath, body: "a"}).body, service.Answer("a"))
+	is.Equal(isolated.send(call{path: releasePath, body: "b", key: isolated.issue()}).body, service.Answer("b"))
+	is.Equal(isolated.send(call{path: releasePath, body: "c", key: "my-own-id", attempt: "1"}).body, service.Answer("c"))
+	// A key of the other side can't be verified here and is refused immediately.
+	r := isolated.send(call{path: releasePath, body: "d", key: old, timeout: 300 * time.Millisecond})
+	is.Equal(r.problem.Reason, api.ReasonIssuerUnreachable)
+	is.Equal(r.problem.AttemptOutcome, api.NotRun)
+	for _, p := range f.daemons[:2] {
+		heal(isolated, p)
+	}
+	f.eventually("the partition has healed", func() bool { return isolated.reachable() == 2 })
+	is.Equal(isolated.send(call{path: releasePath, body: "d", key: old}).body, service.Answer("d"))
+	is.Equal(f.runCount("d"), 1)
+}
+
+// Each caller gets the response to its own request, although the responses arrive out of order, at two
+// instances, over one link.
+func TestEachCallerGetsItsOwnResponse(t *testing.T) {
+	t.Parallel()
+	is := is.New(t)
+	f := newFleet(t, "fort", "fort")
+	const n = 8
+	holds := make([]chan struct{}, n)
+	answers := make([]reply, n)
+	arrived := make(chan service.Call)
+	var all sync.WaitGroup
+	for i := range n {
+		holds[i] = make(chan struct{})
+		f.service.SetFaults(service.Faults{Arrived: arrived, Hold: holds[i]})
+		key := f.daemons[0].issue()
+		all.Go(func() {
+			answers[i] = f.daemons[i%2].send(call{path: releasePath, body: fmt.Sprint("quote ", i), key: key})
+		})
+		<-arrived
+	}
+	for i := n - 1; i >= 0; i-- {
+		close(holds[i])
+	}
+	all.Wait()
+	for i := range n {
+		is.Equal(answers[i].body, service.Answer(fmt.Sprint("quote ", i)))
+	}
+}
+
+// The connection to the upstream breaks after the request ran. A non-idempotent request ends with outcome
+// unknown and isn't sent again, an idempotent one is retried.
+func TestBrokenUpstreamConnection(t *testing.T) {
+	t.Parallel()
+	is := is.New(t)
+	f := newFleet(t, "fort")
+	p := f.daemons[0]
+	f.service.SetFaults(service.Faults{Break: true})
+	key := p.issue()
+	r := p.send(call{path: releasePath, body: "a", key: key})
+	is.Equal(r.problem.Reason, api.ReasonUpstreamLost)
+	is.Equal(r.outcome, api.Unknown)
+	f.service.SetFaults(service.Faults{})
+	r = p.send(call{path: releasePath, body: "a", key: key}) // the retry gets the same result
+	is.Equal(r.problem.Reason, api.ReasonUpstreamLost)
+	is.Equal(f.runCount("a"), 1)
+	f.service.SetFaults(service.Faults{Break: true})
+	r = p.send(call{path: lookupPath, body: "b", timeout: 3 * time.Second})
+	is.Equal(r.outcome, api.Unknown) // it ran, and there is no other upstream
+	is.True(f.runCount("b") >= 1)
+	is.True(p.metric(`tacktally_retries_total{reason="retry_upstream_lost"}`) >= 1)
+}
+
+// A forwarded response whose peer link breaks is resumed on a new link, unnoticed by the caller.
+func TestForwardedResponseOutlivesItsLink(t *testing.T) {
+	t.Parallel()
+	is := is.New(t)
+	f := newFleet(t, "fort", "fort")
+	issuer, entry := f.daemons[0], f.daemons[1]
+	hold := make(chan struct{})
+	f.engine.SetFaults(engine.Faults{HoldToken: hold})
+	body := prompt("a long dossier", true)
+	key := issuer.issue()
+	got := make(chan reply)
+	go func() { got <- entry.send(call{path: chatPath, body: body, key: key}) }()
+	hold <- struct{}{} // two tokens have arrived
+	partition(issuer, entry)
+	f.eventually("the instances are partitioned", func() bool { return entry.reachable() == 0 })
+	heal(issuer, entry)
+	close(hold)
+	r := <-got
+	is.Equal(r.outcome, api.Answered)
+	want := ""
+	for n := 1; n <= 4; n++ {
+		want += engine.Token([]byte(body), n)
+	}
+	is.Equal(streamText(r.body), want)
+	is.Equal(len(f.engine.Runs()), 1)
+}
+
+// A truncated response must not look complete to the caller.
+func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
+	t.Parallel()
+	is := is.New(t)
+	f := newFleet(t, "fort")
+	f.service.SetFaults(service.Faults{TruncateBody: true})
+	r := f.daemons[0].send(call{path: lookupPath, body: "a"})
+	is.True(!r.complete)
+}
+
+// A broken stream is resumed at its engine, unnoticed by the caller and without a second prefill.
+func TestBrokenStreamIsResumed(t *testing.T) {
+	t.Parallel()
+	is := is.New(t)
+	f := newFleet(t, "fort", "fort")
+	body := prompt("a long dossier", true)
+	f.engine.SetFaults(engine.Faults{TruncateAfter: 2})
+	r := f.daemons[0].send(call{path: chatPath, body: body})
+	is.Equal(r.outcome, api.Answered)
+	want := ""
+	for n := 1; n <= 4; n++ {
+		want += engine.Token([]byte(body), n)
+	}
+	is.Equal(streamText(r.body), want)
+	is.Equal(len(f.engine.Runs()), 1)
+	is.Equal(f.daemons[0].metric(`tacktally_retries_total{reason="retry_stream_resumed"}`), 1.0)
+	// Another instance resumes the stream after the ID of an event, but not for another organisation.
+	id := strings.TrimPrefix(strings.SplitN(r.body, "\n", 2)[0], "id: ")
+	resume := map[string]string{api.HeaderLastEventID: id}
+	is.Equal(streamText(f.daemons[1].send(call{path: chatPath, body: body, header: resume}).body), strings.TrimPrefix(want, engine.Token([]byte(body), 1)))
+	is.True(!strings.Contains(f.daemons[1].send(call{path: chatPath, body: body, header: resume, apiKey: otherKey}).body, "data: "))
+	is.Equal(len(f.engine.Runs()), 1)
+}
--- a/internal/faults/shutdown_test.go
+++ b/internal/faults/shutdown_test.go
@@ -17,7 +17,9 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-func TestGracefulShutdownCutsNothingOff(t *testing.T) {
+// A graceful shutdown refuses new requests and completes those in flight: a call, a stream and a
+// forwarded request.
+func TestGracefulShutdownCompletesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
@@ -27,19 +29,19 @@
 	leaving := f.daemons[0]
 	var held sync.WaitGroup
 	replies := make([]reply, 3)
-	held.Go(func() { replies[0] = leaving.send(call{path: release, body: "a", key: leaving.issue()}) })
-	held.Go(func() { replies[1] = leaving.send(call{path: chat, body: prompt("b", true)}) })
-	held.Go(func() { replies[2] = f.daemons[1].send(call{path: release, body: "c", key: leaving.issue()}) })
+	held.Go(func() { replies[0] = leaving.send(call{path: releasePath, body: "a", key: leaving.issue()}) })
+	held.Go(func() { replies[1] = leaving.send(call{path: chatPath, body: prompt("b", true)}) })
+	held.Go(func() { replies[2] = f.daemons[1].send(call{path: releasePath, body: "c", key: leaving.issue()}) })
 	<-arrived
 	<-arrived
 	f.eventually("all are in flight", func() bool { return leaving.status().InFlight == 3 && len(f.engine.Runs()) == 1 })
 	key := leaving.issue()
 	leaving.signal(syscall.SIGTERM)
-	f.eventually("it drains", func() bool { return leaving.status().Draining })
-	r := leaving.send(call{path: lookup, body: "new"})
+	f.eventually("the instance drains", func() bool { return leaving.status().Draining })
+	r := leaving.send(call{path: lookupPath, body: "new"})
 	is.Equal(r.problem.Reason, api.ReasonDraining)
 	is.True(r.problem.RetryAfterSeconds > 0)
-	r = f.daemons[1].send(call{path: release, body: "new", key: key})
+	r = f.daemons[1].send(call{path: releasePath, body: "new", key: key})
 	is.Equal(r.problem.Reason, api.ReasonDraining)
 	is.Equal(r.outcome, api.NotRun)
 	close(hold)
@@ -49,11 +51,11 @@
 	is.Equal(replies[0].body, service.Answer("a"))
 	is.True(strings.HasSuffix(replies[1].body, "data: [DONE]\n\n"))
 	is.Equal(replies[2].body, service.Answer("c"))
-	is.Equal(f.runs("new"), 0)
+	is.Equal(f.runCount("new"), 0)
 }
 
-// A shutdown also waits for what no caller of its own waits for: a request that
-// another instance forwarded, and one whose caller has gone but may come back.
+// A shutdown also waits for requests without a caller at this instance: one that another instance
+// forwarded, and one whose caller has left but may retry.
 func TestShutdownWaitsForForwardedRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -63,47 +65,47 @@
 	f.service.SetFaults(service.Faults{Arrived: arrived, Hold: hold})
 	key := leaving.issue()
 	got := make(chan reply)
-	go func() { got <- other.send(call{path: release, body: "a", key: key}) }()
+	go func() { got <- other.send(call{path: releasePath, body: "a", key: key}) }()
 	<-arrived
 	leaving.signal(syscall.SIGTERM)
-	f.eventually("it drains", func() bool { return leaving.status().Draining })
+	f.eventually("the instance drains", func() bool { return leaving.status().Draining })
 	close(hold)
 	is.Equal((<-got).body, service.Answer("a"))
 	<-leaving.exited
 	is.Equal(leaving.command.ProcessState.ExitCode(), 0)
 }
 
-// An upstream that leaves gets no new work, whoever says so first: the list, or
-// the upstream itself while the list lags.
-func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
-	for _, own := range []bool{false, true} {
-		t.Run(fmt.Sprintf("own word %t", own), func(t *testing.T) {
+// A leaving upstream gets no new request, whether the instance list or, while the list is stale, the
+// upstream itself announces it.
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
+	for _, announced := range []bool{false, true} {
+		t.Run(fmt.Sprintf("announced by upstream %t", announced), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			f := newFleet(t, "fort", "fort")
 			second := service.New()
-			f.list = append(f.list, platform.Instance{Address: f.serve(f.ip(200)+":9001", second), Zone: "fort", Set: claims, State: platform.Live})
+			f.list = append(f.list, platform.Instance{Address: f.serve(f.ip(200)+":9001", second), Zone: "fort", Set: claimsService, State: platform.Live})
 			f.platform.SetInstances(f.list)
 			for _, p := range f.daemons {
 				f.eventually("the list is in use", func() bool { return p.status().ListVersion == 2 })
 			}
-			if own {
+			if announced {
 				f.platform.FreezeList()
 				f.service.SetFaults(service.Faults{Leaving: true})
-				f.eventually("it was called and said so", func() bool {
-					f.daemons[0].send(call{path: lookup, body: "x"})
+				f.eventually("the upstream was called and announced that it leaves", func() bool {
+					f.daemons[0].send(call{path: lookupPath, body: "x"})
 					return len(f.service.Calls()) > 0
 				})
-				f.eventually("the peer knows", func() bool { return f.daemons[1].leaves(f.ip(100) + ":9001") })
+				f.eventually("the peer counts it as leaving", func() bool { return f.daemons[1].isLeaving(f.ip(100) + ":9001") })
 			} else {
-				f.leave(f.ip(100) + ":9001")
+				f.markLeaving(f.ip(100) + ":9001")
 				for _, p := range f.daemons {
 					f.eventually("the list is in use", func() bool { return p.status().ListVersion == 3 })
 				}
 			}
 			before := len(f.service.Calls())
 			for i := range 20 {
-				is.Equal(f.daemons[i%2].send(call{path: lookup, body: "y"}).outcome, api.Answered)
+				is.Equal(f.daemons[i%2].send(call{path: lookupPath, body: "y"}).outcome, api.Answered)
 			}
 			is.Equal(len(f.service.Calls()), before)
 			is.True(len(second.Calls()) >= 20)
@@ -111,31 +113,31 @@
 	}
 }
 
-// A frozen instance that wakes sends nothing to an upstream that began to leave
-// meanwhile.
-func TestWokenInstanceSendsNothingToALeavingUpstream(t *testing.T) {
+// A frozen instance that resumes sends nothing to an upstream that started to leave in the meantime.
+func TestResumedInstanceSendsNothingToLeavingUpstream(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
 	second := service.New()
-	f.list = append(f.list, platform.Instance{Address: f.serve(f.ip(200)+":9001", second), Zone: "fort", Set: claims, State: platform.Live})
+	f.list = append(f.list, platform.Instance{Address: f.serve(f.ip(200)+":9001", second), Zone: "fort", Set: claimsService, State: platform.Live})
 	f.platform.SetInstances(f.list)
 	p := f.daemons[1]
 	f.eventually("the list is in use", func() bool { return p.status().ListVersion == 2 })
 	p.freeze()
-	f.leave(f.ip(100) + ":9001")
-	<-time.After(pause.Threshold + 200*time.Millisecond) // the length of the fault
+	f.markLeaving(f.ip(100) + ":9001")
+	<-time.After(pause.Threshold + 200*time.Millisecond) // the duration of the fault
 	var early sync.WaitGroup
 	for range 10 {
-		early.Go(func() { p.send(call{path: lookup, body: "early"}) })
+		early.Go(func() { p.send(call{path: lookupPath, body: "early"}) })
 	}
-	p.wake()
+	p.resume()
 	early.Wait()
 	is.Equal(len(f.service.Calls()), 0)
 	is.Equal(len(second.Calls()), 10)
 }
 
-func (f *fleet) leave(address string) {
+// markLeaving marks an upstream as leaving in the instance list.
+func (f *fleet) markLeaving(address string) {
 	for i := range f.list {
 		if f.list[i].Address == address {
 			f.list[i].State = platform.Leaving
@@ -144,8 +146,8 @@
 	f.platform.SetInstances(f.list)
 }
 
-// leaves tells whether a daemon counts an upstream of the service as leaving.
-func (p *process) leaves(address string) bool {
+// isLeaving reports whether a daemon counts an upstream of the service as leaving.
+func (p *process) isLeaving(address string) bool {
 	var r struct {
 		Status struct {
 			Upstreams []struct {
@@ -154,7 +156,7 @@
 			} `json:"upstreams"`
 		} `json:"status"`
 	}
-	p.read("/v1/resources/Service/"+claims, &r)
+	p.getResource("/v1/resources/Service/"+claimsService, &r)
 	for _, u := range r.Status.Upstreams {
 		if u.Address == address {
 			return u.Leaving
--- a/internal/faults/tls_test.go
+++ b/internal/faults/tls_test.go
@@ -24,7 +24,7 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for a test.
 type authority struct {
 	t           *testing.T
 	dir         string
@@ -61,6 +61,7 @@
 	return key
 }
 
+// write writes a PEM file into the authority's directory and returns its path.
 func (a *authority) write(name, kind string, der []byte) string {
 	path := filepath.Join(a.dir, name)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -69,7 +70,7 @@
 	return path
 }
 
-// issue writes a certificate for an IP number and returns its settings.
+// issue writes a certificate and its key for an IP address, and returns the TLS settings for them.
 func (a *authority) issue(ip string) *settings.TLS {
 	a.t.Helper()
 	a.serial++
@@ -99,25 +100,25 @@
 	return p
 }
 
-// Instances link by mutual TLS, let in nobody without a certificate of their CA,
-// and take up a renewed certificate without a restart.
-func TestLinksByMutualTLS(t *testing.T) {
+// Instances link with mutual TLS, refuse clients without a certificate of their CA, and reload a renewed
+// certificate without a restart.
+func TestPeerLinksUseMutualTLS(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	a := newAuthority(t)
-	f := newTunedFleet(t, func(s *settings.Settings) {
+	f := newConfiguredFleet(t, func(s *settings.Settings) {
 		host, _, _ := net.SplitHostPort(s.Peers.Address)
 		s.Peers.TLS = a.issue(host)
 	}, "fort", "fort")
 	key := f.daemons[0].issue()
-	is.Equal(f.daemons[1].send(call{path: release, body: "a", key: key}).body, service.Answer("a"))
+	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.Answer("a"))
 
-	stranger := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.pool()}}}
-	_, err := stranger.Get("https://" + f.daemons[0].ip + ":7003/peer")
+	unauthenticated := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.pool()}}}
+	_, err := unauthenticated.Get("https://" + f.daemons[0].ip + ":7003/peer")
 	is.True(err != nil) // no certificate
 
 	a.issue(f.daemons[0].ip) // renewed in place
-	f.eventually("the renewed certificate is shown", func() bool {
+	f.eventually("the renewed certificate is presented", func() bool {
 		conn, err := tls.Dial("tcp", f.daemons[0].ip+":7003", &tls.Config{RootCAs: a.pool()})
 		if err != nil {
 			return false
@@ -127,9 +128,8 @@
 	})
 }
 
-// Callers and operators are served by TLS where it is set, and operators need the
-// token.
-func TestCallersAndOperatorsByTLS(t *testing.T) {
+// Callers and operators are served over TLS where it is configured, and operators need the token.
+func TestCallersAndOperatorsUseTLS(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	a := newAuthority(t)
@@ -139,7 +139,7 @@
 	certificate := a.issue(f.ip(10))
 	certificate.ClientCAFile = ""
 	f.client.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.pool()}}
-	f.startSecure(func(s *settings.Settings) {
+	f.startConfigured(func(s *settings.Settings) {
 		s.Callers.TLS, s.Operators.TLS, s.Operators.TokenFile = certificate, certificate, token
 	})
 	status := func(port, path, bearer string) int {
@@ -153,7 +153,7 @@
 		r.Body.Close()
 		return r.StatusCode
 	}
-	f.eventually("it is ready", func() bool { return status(":7002", "/readyz", "") == http.StatusOK })
+	f.eventually("the daemon is ready", func() bool { return status(":7002", "/readyz", "") == http.StatusOK })
 	is.Equal(status(":7002", "/v1/status", "guess"), http.StatusUnauthorized)
 	is.Equal(status(":7002", "/v1/status", "secret"), http.StatusOK)
 	is.Equal(status(":7001", "/v1/models", apiKey), http.StatusOK)
