--- a/internal/slopes/parts.go
+++ b/internal/slopes/measurements.go
@@ -28,7 +28,7 @@
 	keySizes          = []int{2000, 8000, 32_000}
 )
 
-// document declares so many organisations, with two API keys each.
+// document returns a configuration with the given number of organisations, each with one API key.
 func document(organisations int) []byte {
 	d := api.Document{
 		Tiers:      []api.Tier{{Metadata: api.Metadata{Name: "desk"}, Spec: api.TierSpec{TimeoutMillis: 1000}}},
@@ -51,6 +51,7 @@
 	return content
 }
 
+// accept returns the accepted snapshot of a valid configuration.
 func accept(content []byte) *config.Snapshot {
 	s, err := config.Accept(1, content, nil)
 	if err != nil {
@@ -72,8 +73,8 @@
 	})
 }
 
-// changeTime is the acceptance of a change in one of 64 parts.
-func changeTime() Slope {
+// partChangeTime measures the acceptance of a change in one of 64 parts.
+func partChangeTime() Slope {
 	const parts = 64
 	return measure("accepting and noting a change in one of 64 parts", "µs", "organisation", []int{3000, 6000, 12_000}, func(n int) float64 {
 		h := config.NewHolder()
@@ -102,7 +103,8 @@
 	})
 }
 
-// partDocument is a part with organisations of its own names.
+// partDocument returns a configuration part with the given number of organisations, whose names are unique
+// to the part.
 func partDocument(part, organisations int) []byte {
 	var d api.Document
 	if err := json.Unmarshal(document(organisations), &d); err != nil {
@@ -120,6 +122,7 @@
 	return content
 }
 
+// mainDocument returns a configuration that refers to parts.
 func mainDocument(refs []api.PartReference) []byte {
 	var d api.Document
 	if err := json.Unmarshal(document(0), &d); err != nil {
@@ -139,7 +142,8 @@
 	})
 }
 
-func list(n int) []platform.Instance {
+// newList returns an instance list with n upstreams.
+func newList(n int) []platform.Instance {
 	out := make([]platform.Instance, n)
 	for i := range out {
 		out[i] = platform.Instance{Address: fmt.Sprintf("10.0.%d.%d:9001", i/250, i%250), Zone: "bole", Set: "readers", State: platform.Live}
@@ -148,7 +152,7 @@
 }
 
 func encodeList(n int) []byte {
-	content, err := json.Marshal(list(n))
+	content, err := json.Marshal(newList(n))
 	if err != nil {
 		panic("slopes: a list always encodes: " + err.Error())
 	}
@@ -179,7 +183,7 @@
 	return out
 }
 
-// zoneInstances is the number of instances of a zone at the target.
+// zoneInstances is the number of instances in an availability zone at the target size.
 const zoneInstances = 81
 
 func subsetTime() Slope {
@@ -189,22 +193,23 @@
 	}
 	return measure("choosing a subset among 81 instances", "µs", "upstream", listSizes, func(n int) float64 {
 		addresses := make([]string, n)
-		for i, e := range list(n) {
+		for i, e := range newList(n) {
 			addresses[i] = e.Address
 		}
 		return timeOf(func() { subset.Select(instances[0], instances, addresses, 48) })
 	})
 }
 
-const memoryBlocks = 2048
+// prefixIndexBlocks bounds the prefix index of each upstream.
+const prefixIndexBlocks = 2048
 
 func newCore(upstreams int) *scheduler.Core {
 	c := scheduler.New(scheduler.Options{
 		Picker:            balancer.NewPredictive(1, rand.New(rand.NewPCG(1, 2))),
 		Limits:            queue.Limits{MaxItems: 1 << 20, MaxBytes: 1 << 40},
-		PrefixIndexBlocks: memoryBlocks,
+		PrefixIndexBlocks: prefixIndexBlocks,
 	})
-	c.SetMembers(members(list(upstreams)))
+	c.SetMembers(members(newList(upstreams)))
 	return c
 }
 
@@ -219,18 +224,19 @@
 		return memoryOf(func() any {
 			c := newCore(n)
 			for _, u := range c.Upstreams() {
-				chain := make([]uint64, memoryBlocks)
-				for i := range chain {
-					chain[i] = rand.Uint64()
+				hashes := make([]uint64, prefixIndexBlocks)
+				for i := range hashes {
+					hashes[i] = rand.Uint64()
 				}
-				u.PrefixIndex.Add(chain)
+				u.PrefixIndex.Add(hashes)
 			}
 			return c
 		})
 	})
 }
 
-func sample(i int) *scheduler.Request {
+// sampleRequest returns a request; i varies its rank, organisation and prefix hashes.
+func sampleRequest(i int) *scheduler.Request {
 	now := time.Now()
 	return &scheduler.Request{
 		Rank: i % 4, Organisation: fmt.Sprint("organisation-", i%100), Share: 1,
@@ -239,7 +245,8 @@
 	}
 }
 
-// decisionTime is one whole turn of a request: submit, grant, first token, done.
+// decisionTime measures the scheduling of one request from submission over grant and first token to
+// completion.
 func decisionTime() Slope {
 	return measure("one decision (submit to done)", "µs", "upstream", upstreamSizes, func(n int) float64 {
 		c := newCore(n)
@@ -247,7 +254,7 @@
 		return timeOf(func() {
 			now := time.Now()
 			i++
-			d := c.Submit(now, sample(i))
+			d := c.Submit(now, sampleRequest(i))
 			if len(d.Grants) == 1 {
 				c.RecordFirstToken(now, d.Grants[0])
 				c.RecordCompleted(now, d.Grants[0], 1)
@@ -256,8 +263,8 @@
 	})
 }
 
-// busyDecisionTime is a turn while many wait: one request ends, the next is chosen
-// among the first few and sent, and another one comes.
+// busyDecisionTime measures one decision while 1000 requests are queued: one request completes, the next
+// one is selected among the first few of the queue and granted, and another one is submitted.
 func busyDecisionTime() Slope {
 	return measure("one decision while 1000 wait", "µs", "upstream", []int{10, 50, 200}, func(n int) float64 {
 		c := newCore(n)
@@ -265,7 +272,7 @@
 		i := 0
 		submit := func() {
 			i++
-			running = append(running, c.Submit(time.Now(), sample(i)).Grants...)
+			running = append(running, c.Submit(time.Now(), sampleRequest(i)).Grants...)
 		}
 		for waiting := 0; waiting < 1000; {
 			submit()
@@ -285,11 +292,11 @@
 	})
 }
 
-// full returns a core of one upstream with so many requests waiting.
-func full(n int) *scheduler.Core {
+// newFullCore returns a core of one upstream with at least n requests queued.
+func newFullCore(n int) *scheduler.Core {
 	c := newCore(1)
 	for i := 0; ; i++ {
-		c.Submit(time.Now(), sample(i))
+		c.Submit(time.Now(), sampleRequest(i))
 		waiting := 0
 		for _, k := range c.Queued(4) {
 			waiting += k
@@ -302,28 +309,30 @@
 
 func queueMemory() Slope {
 	return measure("waiting request, without its body", "bytes", "request", queueSizes, func(n int) float64 {
-		return memoryOf(func() any { return full(n) })
+		return memoryOf(func() any { return newFullCore(n) })
 	})
 }
 
 func queueTime() Slope {
 	return measure("entering and leaving a queue", "µs", "request waiting", queueSizes, func(n int) float64 {
-		c := full(n)
+		c := newFullCore(n)
 		i := 0
 		return timeOf(func() {
 			i++
-			r := sample(i)
+			r := sampleRequest(i)
 			c.Submit(time.Now(), r)
 			c.Cancel(r)
 		})
 	})
 }
 
+// newRegister returns an idempotency register with space for 2n keys.
 func newRegister(n int) *idempotency.Register {
 	return idempotency.NewRegister(idempotency.Limits{Lifetime: time.Hour, MaxEntries: 2 * n, MaxAnswerBytes: 1 << 40}, idempotency.NewClock())
 }
 
-func use(r *idempotency.Register, i int) {
+// useKey records the use of key i with an empty response.
+func useKey(r *idempotency.Register, i int) {
 	r.Reserve(fmt.Sprint("organisation-", i%10))
 	b, _, _ := r.Begin(idempotency.Use{Key: fmt.Sprintf("ttk1.%0200d", i), Organisation: "organisation", Expiry: time.Hour})
 	if b != nil {
@@ -336,7 +345,7 @@
 		return memoryOf(func() any {
 			r := newRegister(n)
 			for i := range n {
-				use(r, i)
+				useKey(r, i)
 			}
 			return r
 		})
@@ -347,7 +356,7 @@
 	return measure("issuing and verifying a key", "µs", "key in use", keySizes, func(n int) float64 {
 		r := newRegister(n)
 		for i := range n {
-			use(r, i)
+			useKey(r, i)
 		}
 		issuer := idempotency.NewIssuer("10.0.0.1:7003", 1, idempotency.NewClock())
 		return timeOf(func() {
--- a/internal/slopes/peers.go
+++ b/internal/slopes/peers.go
@@ -19,15 +19,16 @@
 var meshSizes = []int{4, 8, 16, 24}
 
 const (
-	// beats is the heartbeats a second of the measured meshes, more than the
-	// daemon's two so that they outweigh the rest.
-	beats = 50
-	// observed is how long a mesh is observed.
-	observed = time.Second
-	setsTold = 30
+	// heartbeatsPerSecond is the heartbeat rate of the measured meshes. It is higher than the daemon's
+	// rate of 2 per second, so that heartbeats outweigh other work.
+	heartbeatsPerSecond = 50
+	// observationTime is the length of the measurement of a mesh.
+	observationTime = time.Second
+	// setsPerHeartbeat is the number of engine sets in each heartbeat.
+	setsPerHeartbeat = 30
 )
 
-// heartbeat tells of so many sets with work waiting.
+// heartbeat returns a heartbeat that reports queued work for the given number of engine sets.
 func heartbeat(sets int) *peer.Heartbeat {
 	h := &peer.Heartbeat{Revision: 1 << 30, ListVersion: 1 << 30, InFlight: 200, Queued: map[string][]int{}}
 	for i := range sets {
@@ -46,14 +47,14 @@
 	})
 }
 
-// quietHandler sends heartbeats and takes no notice of others'.
+// quietHandler sends heartbeats and ignores everything that it receives.
 type quietHandler struct{}
 
 func (quietHandler) Serve(context.Context, *request.Request) *answer.Buffer { return answer.New(true) }
 func (quietHandler) State(*peer.FetchRequest) *peer.State                   { return &peer.State{} }
 func (quietHandler) FetchRequest() *peer.FetchRequest                       { return &peer.FetchRequest{} }
 func (quietHandler) MergeState(string, time.Time, *peer.State)              {}
-func (quietHandler) Heartbeat() *peer.Heartbeat                             { return heartbeat(setsTold) }
+func (quietHandler) Heartbeat() *peer.Heartbeat                             { return heartbeat(setsPerHeartbeat) }
 func (quietHandler) HandleHeartbeat(string, *peer.Heartbeat)                {}
 func (quietHandler) HandlePressure(peer.Pressure)                           {}
 func (quietHandler) PeerLost(string)                                        {}
@@ -63,14 +64,15 @@
 func (quietHandler) ServeSlot(context.Context, *peer.SlotRequest, *peer.SlotStream) {
 }
 
-// meshes is a full mesh of instances in this process.
-type meshes struct {
+// fullMesh is a full mesh of instances in this process.
+type fullMesh struct {
 	all     []*peer.Mesh
 	servers []*http.Server
 }
 
-func newMeshes(n int) *meshes {
-	m := &meshes{}
+// newFullMesh returns a mesh of n instances. It blocks until all of them are linked.
+func newFullMesh(n int) *fullMesh {
+	m := &fullMesh{}
 	var addresses []string
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,11 +81,11 @@
 		}
 		address := l.Addr().String()
 		mesh := peer.NewMesh(peer.Options{
-			Address: address, Heartbeat: time.Second / beats, SuspectAfter: time.Minute, Incarnation: 1,
+			Address: address, Heartbeat: time.Second / heartbeatsPerSecond, SuspectAfter: time.Minute, Incarnation: 1,
 			Handler: quietHandler{}, Log: &log.Logger{Level: log.FatalLevel, Writer: &log.IOWriter{Writer: io.Discard}},
 		})
 		s := &http.Server{Handler: mesh, ReadHeaderTimeout: time.Second}
-		go s.Serve(l) //nolint:errcheck // ends with close
+		go s.Serve(l) //nolint:errcheck // ends with Close
 		m.all = append(m.all, mesh)
 		m.servers = append(m.servers, s)
 		addresses = append(addresses, address)
@@ -95,7 +97,7 @@
 	return m
 }
 
-func (m *meshes) waitLinked() {
+func (m *fullMesh) waitLinked() {
 	for _, mesh := range m.all {
 		for {
 			linked := 0
@@ -112,7 +114,7 @@
 	}
 }
 
-func (m *meshes) close() {
+func (m *fullMesh) close() {
 	for _, mesh := range m.all {
 		mesh.Close()
 	}
@@ -121,25 +123,25 @@
 	}
 }
 
-// peerProcessor is the processor time of one heartbeat to one peer, sending and
-// receiving together, by the number of peers.
-func peerProcessor() Slope {
+// peerProcessorTime measures the processor time of one heartbeat to one peer, for sending and receiving
+// together, by the number of peers.
+func peerProcessorTime() Slope {
 	return measure("heartbeats of one instance, a round", "µs", "peer", meshSizes, func(n int) float64 {
-		m := newMeshes(n)
+		m := newFullMesh(n)
 		defer m.close()
 		before := processorTime()
-		time.Sleep(observed)
+		time.Sleep(observationTime)
 		spent := processorTime() - before
-		rounds := observed.Seconds() * beats * float64(n)
+		rounds := observationTime.Seconds() * heartbeatsPerSecond * float64(n)
 		return float64(spent.Microseconds()) / rounds
 	})
 }
 
 func peerMemory() Slope {
 	return measure("links of one instance, both directions", "bytes", "peer", meshSizes, func(n int) float64 {
-		var m *meshes
+		var m *fullMesh
 		total := memoryOf(func() any {
-			m = newMeshes(n)
+			m = newFullMesh(n)
 			return m
 		})
 		m.close()
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -1,5 +1,5 @@
-// Package slopes measures how the daemon's costs grow with sizes, on one machine
-// and with small stand-ins. docs/CAPACITY.md works the target size out from them.
+// Package slopes measures how the costs of the daemon grow with the size of its inputs, on one machine
+// and with small fakes. docs/CAPACITY.md derives the capacity at the target size from them.
 package slopes
 
 import (
@@ -13,24 +13,24 @@
 
 // Slope is one cost measured at several sizes.
 type Slope struct {
-	// Cost is measured, and by what size it grows.
+	// Cost names the measured cost, and Dimension the size with which it grows.
 	Cost      string
 	Dimension string
-	// Unit of the cost.
+	// Unit is the unit of Costs.
 	Unit string
-	// Sizes and Costs, in pairs.
+	// Sizes and Costs hold one measurement at each index.
 	Sizes []int
 	Costs []float64
 }
 
-// Fit is a straight line through a Slope's points, by least squares.
+// Fit is the least squares line through the points of a Slope.
 type Fit struct {
 	Base     float64
 	PerUnit  float64
-	MaxError float64 // largest deviation of a point, as a share of its cost
+	MaxError float64 // largest deviation of a point from the line, as a share of its cost
 }
 
-// Fit returns the line.
+// Fit returns the least squares line through the points.
 func (s Slope) Fit() Fit {
 	n := float64(len(s.Sizes))
 	var sx, sy, sxx, sxy float64
@@ -45,21 +45,21 @@
 	f.PerUnit = (n*sxy - sx*sy) / (n*sxx - sx*sx)
 	f.Base = (sy - f.PerUnit*sx) / n
 	for i, size := range s.Sizes {
-		off := math.Abs(f.Base+f.PerUnit*float64(size)-s.Costs[i]) / math.Max(s.Costs[i], 1e-12)
-		f.MaxError = math.Max(f.MaxError, off)
+		deviation := math.Abs(f.Base+f.PerUnit*float64(size)-s.Costs[i]) / math.Max(s.Costs[i], 1e-12)
+		f.MaxError = math.Max(f.MaxError, deviation)
 	}
 	return f
 }
 
-// All measures every slope. It takes about half a minute.
+// All measures every slope. It takes about 30 s.
 func All() []Slope {
 	return []Slope{
-		configurationBytes(), configurationTime(), changeTime(), configurationMemory(),
+		configurationBytes(), configurationTime(), partChangeTime(), configurationMemory(),
 		listBytes(), listTime(), subsetTime(),
 		upstreamMemory(), filledUpstreamMemory(), decisionTime(), busyDecisionTime(),
 		queueMemory(), queueTime(),
 		keyMemory(), keyTime(),
-		heartbeatBytes(), peerProcessor(), peerMemory(),
+		heartbeatBytes(), peerProcessorTime(), peerMemory(),
 	}
 }
 
@@ -69,25 +69,25 @@
 	fmt.Fprintln(w, "cost\tunit\tby\tsizes\tcosts\tbase\tper unit\tlargest error")
 	for _, s := range all {
 		f := s.Fit()
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%s\t%.0f%%\n", s.Cost, s.Unit, s.Dimension, s.Sizes, numbers(s.Costs), number(f.Base), number(f.PerUnit), 100*f.MaxError)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%s\t%.0f%%\n", s.Cost, s.Unit, s.Dimension, s.Sizes, formatNumbers(s.Costs), formatNumber(f.Base), formatNumber(f.PerUnit), 100*f.MaxError)
 	}
 	return w.Flush()
 }
 
-func numbers(list []float64) string {
+func formatNumbers(list []float64) string {
 	out := ""
 	for i, x := range list {
 		if i > 0 {
 			out += " "
 		}
-		out += number(x)
+		out += formatNumber(x)
 	}
 	return out
 }
 
-func number(x float64) string { return fmt.Sprintf("%.4g", x) }
+func formatNumber(x float64) string { return fmt.Sprintf("%.4g", x) }
 
-// measure takes a cost at each size.
+// measure returns the cost at each size.
 func measure(what, unit, by string, sizes []int, cost func(size int) float64) Slope {
 	s := Slope{Cost: what, Unit: unit, Dimension: by, Sizes: sizes}
 	for _, size := range sizes {
@@ -97,37 +97,38 @@
 }
 
 const (
-	// timed is how long a function is run over to take its time.
-	timed = 200 * time.Millisecond
-	// tries is how often it is timed; the fastest counts.
-	tries = 3
+	// timingDuration is for how long a function is repeated in one timing.
+	timingDuration = 200 * time.Millisecond
+	// timingRounds is the number of timings, of which the fastest counts.
+	timingRounds = 3
 )
 
-// timeOf returns the time of one run, in microseconds.
+// timeOf returns the time of one call of f, in microseconds.
 func timeOf(f func()) float64 {
 	best := math.Inf(1)
-	for range tries {
+	for range timingRounds {
 		runs := 0
-		begun := time.Now()
-		for time.Since(begun) < timed {
+		started := time.Now()
+		for time.Since(started) < timingDuration {
 			f()
 			runs++
 		}
-		best = math.Min(best, float64(time.Since(begun).Nanoseconds())/float64(runs)/1e3)
+		best = math.Min(best, float64(time.Since(started).Nanoseconds())/float64(runs)/1e3)
 	}
 	return best
 }
 
-// memoryOf returns the bytes that what f returns holds.
+// memoryOf returns the size of the heap memory that the result of f holds, in bytes.
 func memoryOf(f func() any) float64 {
-	before := heap()
+	before := heapBytes()
 	kept := f()
-	after := heap()
+	after := heapBytes()
 	runtime.KeepAlive(kept)
 	return float64(after) - float64(before)
 }
 
-func heap() uint64 {
+// heapBytes returns the bytes allocated on the heap after a garbage collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
