--- a/internal/benchmarks/addedcost_test.go
+++ b/internal/benchmarks/addedcost_test.go
@@ -22,11 +22,11 @@
 	"github.com/tacktally/tacktally/internal/standin/rig"
 )
 
-// tokensPerStream is the number of events of one streamed answer.
+// tokensPerStream is the number of events in one streamed response.
 const tokensPerStream = 100
 
-// instantEngine answers at once, so that only the way is measured.
-func instantEngine(w http.ResponseWriter, h *http.Request) {
+// serveImmediately responds without a delay, so that only the network path and the daemon are measured.
+func serveImmediately(w http.ResponseWriter, h *http.Request) {
 	_, _ = io.Copy(io.Discard, h.Body)
 	if strings.HasPrefix(h.URL.Path, "/call") {
 		_, _ = io.WriteString(w, "ok")
@@ -41,13 +41,14 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// world is a daemon before instant engines.
-type world struct {
+// environment holds the base URLs of an upstream and of a daemon in front of it.
+type environment struct {
 	direct string
 	daemon string
 }
 
-func newWorld(b *testing.B) world {
+// newEnvironment starts a daemon with 16 upstreams that respond without a delay.
+func newEnvironment(b *testing.B) environment {
 	b.Helper()
 	r, err := rig.Start(rig.Options{Engines: []engine.Spec{}})
 	if err != nil {
@@ -57,7 +58,7 @@
 	var list []platform.Instance
 	var direct string
 	for range 16 {
-		s := httptest.NewServer(http.HandlerFunc(instantEngine))
+		s := httptest.NewServer(http.HandlerFunc(serveImmediately))
 		b.Cleanup(s.Close)
 		direct = s.URL
 		address := strings.TrimPrefix(s.URL, "http://")
@@ -69,52 +70,54 @@
 	for r.Daemons[0].Status().ListVersion < 2 {
 		<-time.After(time.Millisecond)
 	}
-	return world{direct: direct, daemon: r.URL(0)}
+	return environment{direct: direct, daemon: r.URL(0)}
 }
 
-func cpu() time.Duration {
+// processorTime returns the processor time of this process so far.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// load sends b.N requests from so many workers and reports the median time, and
-// the processor time for each request and token of everything in the process.
-func load(b *testing.B, url, path, body string, workers int) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
+// load sends b.N requests from the given number of concurrent clients. It reports the median time of a
+// request, and the processor time of the whole process per request.
+func load(b *testing.B, url, path, body string, clients int) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	defer client.CloseIdleConnections()
 	took := hdrhistogram.New(1, 60_000_000, 3) // µs
 	var mu sync.Mutex
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	failed := atomic.Int64{}
-	before := cpu()
+	before := processorTime()
 	b.ReportAllocs()
 	b.ResetTimer()
 	var all sync.WaitGroup
-	for range workers {
+	for range clients {
 		all.Go(func() {
-			for left.Add(-1) >= 0 {
-				begun := time.Now()
+			for remaining.Add(-1) >= 0 {
+				started := time.Now()
 				if !request(client, url+path, body) {
 					failed.Add(1)
 				}
 				mu.Lock()
-				_ = took.RecordValue(time.Since(begun).Microseconds())
+				_ = took.RecordValue(time.Since(started).Microseconds())
 				mu.Unlock()
 			}
 		})
 	}
 	all.Wait()
 	b.StopTimer()
-	spent := cpu() - before
+	spent := processorTime() - before
 	b.ReportMetric(float64(took.ValueAtQuantile(50)), "p50-µs")
 	b.ReportMetric(float64(spent.Microseconds())/float64(b.N), "cpu-µs/op")
 	if failed.Load() > 0 {
-		b.Errorf("%d of %d requests were not answered", failed.Load(), b.N)
+		b.Errorf("%d of %d requests got no complete response", failed.Load(), b.N)
 	}
 }
 
+// request sends one request and reports whether it got a complete response with status 200.
 func request(client *http.Client, url, body string) bool {
 	h, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -131,19 +134,19 @@
 	return err == nil && r.StatusCode == http.StatusOK
 }
 
-// BenchmarkAddedCost measures calls and streams of 100 tokens, to the stand-in
-// directly and through the daemon. The difference is what the daemon adds.
+// BenchmarkAddedCost measures calls and streams of 100 tokens, directly at the upstream and through the
+// daemon. The difference is what the daemon adds.
 func BenchmarkAddedCost(b *testing.B) {
 	stream := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[]}`, rig.Model, tokensPerStream)
-	for _, workers := range []int{1, 64, 512} {
-		w := newWorld(b)
+	for _, clients := range []int{1, 64, 512} {
+		e := newEnvironment(b)
 		for _, c := range []struct{ name, url, path, body string }{
-			{"call/direct", w.direct, "/call", "x"},
-			{"call/daemon", w.daemon, "/services/" + rig.Bookings + "/call", "x"},
-			{"stream/direct", w.direct, "/v1/chat/completions", stream},
-			{"stream/daemon", w.daemon, "/v1/chat/completions", stream},
+			{"call/direct", e.direct, "/call", "x"},
+			{"call/daemon", e.daemon, "/services/" + rig.Bookings + "/call", "x"},
+			{"stream/direct", e.direct, "/v1/chat/completions", stream},
+			{"stream/daemon", e.daemon, "/v1/chat/completions", stream},
 		} {
-			b.Run(fmt.Sprintf("%s/%d", c.name, workers), func(b *testing.B) { load(b, c.url, c.path, c.body, workers) })
+			b.Run(fmt.Sprintf("%s/%d", c.name, clients), func(b *testing.B) { load(b, c.url, c.path, c.body, clients) })
 		}
 	}
 }
--- a/internal/benchmarks/propagation_test.go
+++ b/internal/benchmarks/propagation_test.go
@@ -12,8 +12,8 @@
 	"github.com/tacktally/tacktally/internal/standin/rig"
 )
 
-// BenchmarkPropagation measures the time from publishing a document at the
-// platform until it is in force at every daemon.
+// BenchmarkPropagation measures the time from the publication of a configuration at the platform until
+// it is in force at every daemon.
 func BenchmarkPropagation(b *testing.B) {
 	for _, daemons := range []int{3, 7, 14} {
 		for _, organisations := range []int{5, 4000} {
@@ -39,6 +39,7 @@
 	}
 }
 
+// documentOf returns the harness's configuration with the given number of further organisations.
 func documentOf(b *testing.B, organisations int) []byte {
 	b.Helper()
 	d := rig.Document()
