--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Equal seeds give equal runs, and no run sheds a higher tier while lower work
-// waits within reach.
-func TestRunsAreEqualAndShedTheLowestFirst(t *testing.T) {
+// Runs with the same seed are identical, and no run sheds a higher tier while a reachable instance has
+// lower tiers queued.
+func TestRunsAreReproducibleAndShedLowestTierFirst(t *testing.T) {
 	own := Policies()[0]
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -23,18 +23,18 @@
 	}
 }
 
-// The predicate is shown a run that breaks it: instances that never relieve each
-// other while they are within reach.
-func TestViolationsAreSeen(t *testing.T) {
+// The check for violations detects a run that has some: instances that are reachable but never shed for
+// each other.
+func TestViolationsAreDetected(t *testing.T) {
 	is := is.New(t)
-	unrelieved := Policies()[0]
-	unrelieved.unrelieved = true
+	noPressure := Policies()[0]
+	noPressure.noPressure = true
 	burst := Scenarios()[1]
-	is.True(Run(Colombo(), burst, unrelieved, 7).Violations > 0)
+	is.True(Run(Colombo(), burst, noPressure, 7).Violations > 0)
 }
 
-// Every request offered ends in one way.
-func TestEveryRequestEnds(t *testing.T) {
+// Every offered request ends in exactly one way: in time, late or shed.
+func TestEveryRequestEndsOnce(t *testing.T) {
 	is := is.New(t)
 	for _, p := range Policies() {
 		r := Run(Addis(), Scenarios()[2], p, 3)
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,26 +7,30 @@
 	"github.com/tacktally/tacktally/internal/prefix"
 )
 
+// ranks is the number of tiers.
 const ranks = 4
 
-// Result is what one run gave.
+// Result holds the figures of one run, or of several with different seeds. Arrays are indexed by the rank
+// of the tier.
 type Result struct {
+	// Offered counts the requests that arrived, InTime those that were answered within their timeout and
+	// their bound on the time to first token.
 	Offered [ranks]int
 	InTime  [ranks]int
-	// Sheds by tier and reason.
+	// Sheds counts the shed requests by tier and reason.
 	Sheds [ranks]map[api.Reason]int
-	// Late answers and requests that timed out.
+	// Late counts late responses and requests that timed out.
 	Late [ranks]int
-	// PrefilledTokens is the prompt tokens read; PromptWasted those read again or for
-	// answers that weren't in time.
+	// PrefilledTokens counts the prompt tokens that were prefilled, WastedTokens those of them that had been
+	// prefilled before or whose response wasn't in time.
 	PrefilledTokens int
 	WastedTokens    int
-	// RecomputedTokens is the part of PromptWasted that was read again.
+	// RecomputedTokens counts those of WastedTokens that had been prefilled before, by any engine.
 	RecomputedTokens int
-	// First tokens, in ms, of tier 0 and of all.
+	// TopTierTTFT and TTFT hold the times to first token in ms, of rank 0 and of all tiers.
 	TopTierTTFT, TTFT *hdrhistogram.Histogram
-	// Violations counts sheds of a higher tier for load while a reachable
-	// instance still held lower work.
+	// Violations counts the requests of a higher tier that were shed for load while a reachable instance
+	// had lower tiers queued.
 	Violations int
 }
 
@@ -38,41 +42,42 @@
 	return r
 }
 
-func (r *Result) offered(a *arrival) { r.Offered[a.class.tier]++ }
+func (r *Result) recordOffered(a *arrival) { r.Offered[a.class.tier]++ }
 
-func (r *Result) shed(j *job, reason api.Reason) { r.Sheds[j.arrival.class.tier][reason]++ }
+func (r *Result) recordShed(j *job, reason api.Reason) { r.Sheds[j.arrival.class.tier][reason]++ }
 
-// read counts a prompt that an engine has read to its end, and how much of it had
-// been read before, by any engine.
-func (r *Result) read(w *world, j *job) {
-	j.counted = true
-	read := j.sequence.Prefilled()
-	r.PrefilledTokens += read
-	cached := j.sequence.Prompt - read
-	again := 0
-	for i, b := range j.arrival.chain {
-		if w.readOnce[b] && i*prefix.BlockTokens >= cached {
-			again += prefix.BlockTokens
+// recordPrefill counts a prompt whose prefill is done, and the tokens of it that some engine had prefilled
+// before.
+func (r *Result) recordPrefill(w *simulation, j *job) {
+	j.prefillCounted = true
+	prefilled := j.sequence.Prefilled()
+	r.PrefilledTokens += prefilled
+	cached := j.sequence.Prompt - prefilled
+	recomputed := 0
+	for i, b := range j.arrival.prefixHashes {
+		if w.seenBlocks[b] && i*prefix.BlockTokens >= cached {
+			recomputed += prefix.BlockTokens
 		}
-		w.readOnce[b] = true
+		w.seenBlocks[b] = true
 	}
-	r.WastedTokens += min(again, read)
-	r.RecomputedTokens += min(again, read)
-	j.readAgain = min(again, read)
+	r.WastedTokens += min(recomputed, prefilled)
+	r.RecomputedTokens += min(recomputed, prefilled)
+	j.recomputed = min(recomputed, prefilled)
 }
 
-// wasted counts all that was read for an answer that wasn't in time.
-func (r *Result) wasted(j *job) {
+// recordWasted counts all prompt tokens that were prefilled for a response that wasn't in time.
+func (r *Result) recordWasted(j *job) {
 	if j.sequence == nil {
 		return
 	}
-	if !j.counted {
+	if !j.prefillCounted {
 		r.PrefilledTokens += j.sequence.Prefilled()
 	}
-	r.WastedTokens += j.sequence.Prefilled() - j.readAgain
+	r.WastedTokens += j.sequence.Prefilled() - j.recomputed
 }
 
-func (r *Result) answered(w *world, j *job) {
+// recordResponse counts a completed response as in time or late.
+func (r *Result) recordResponse(w *simulation, j *job) {
 	c := j.arrival.class
 	_ = r.TTFT.RecordValue(max(j.first.Milliseconds(), 1))
 	if c.tier == 0 {
@@ -84,15 +89,16 @@
 		return
 	}
 	r.Late[c.tier]++
-	r.wasted(j)
+	r.recordWasted(j)
 }
 
-func (r *Result) late(_ *world, j *job) {
+// recordLate counts a request that timed out.
+func (r *Result) recordLate(_ *simulation, j *job) {
 	r.Late[j.arrival.class.tier]++
-	r.wasted(j)
+	r.recordWasted(j)
 }
 
-// Goodput returns the share of a tier's requests that were answered in time.
+// Goodput returns the share of a tier's requests that were answered in time, from 0 to 1.
 func (r *Result) Goodput(tier int) float64 {
 	return float64(r.InTime[tier]) / float64(max(r.Offered[tier], 1))
 }
@@ -107,13 +113,13 @@
 	return float64(in) / float64(max(offered, 1))
 }
 
-// WastedShare returns the share of the prompt tokens read that was wasted.
+// WastedShare returns the share of the prefilled tokens that was wasted.
 func (r *Result) WastedShare() float64 {
 	return float64(r.WastedTokens) / float64(max(r.PrefilledTokens, 1))
 }
 
-// add joins the result of another seed.
-func (r *Result) add(o *Result) {
+// merge adds the result of another seed.
+func (r *Result) merge(o *Result) {
 	for i := range r.Offered {
 		r.Offered[i] += o.Offered[i]
 		r.InTime[i] += o.InTime[i]
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -10,55 +10,57 @@
 	"time"
 )
 
-// The times of a run: quiet, burst, quiet again.
+// The phases of a run: normal load, a burst, normal load.
 const (
-	burstBegins = 10 * time.Second
-	burstEnds   = 40 * time.Second
+	burstStart  = 10 * time.Second
+	burstEnd    = 40 * time.Second
 	lastArrival = 50 * time.Second
-	// faultAt is when a fault strikes, in the midst of the burst.
-	faultAt    = 20 * time.Second
-	quietLoad  = 0.5
+	// faultTime is the time at which a fault is injected, in the middle of the burst.
+	faultTime = 20 * time.Second
+	// normalLoad and burstLoad are multiples of the capacity of the engines.
+	normalLoad = 0.5
 	burstLoad  = 3.0
+	// slowFactor multiplies the step time of a slow engine.
 	slowFactor = 3.0
 )
 
-// Scenario is what happens in a run.
+// Scenario is the load and the fault of a run.
 type Scenario struct {
 	Name  string
 	burst bool
-	fault func(w *world, jobs func() []*job)
+	fault func(w *simulation, jobs func() []*job)
 }
 
-// Scenarios are those of the measure.
+// Scenarios returns the measured scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "quiet"},
 		{Name: "burst", burst: true},
-		{Name: "burst, two engines slow", burst: true, fault: func(w *world, _ func() []*job) {
+		{Name: "burst, two engines slow", burst: true, fault: func(w *simulation, _ func() []*job) {
 			w.engines["A"].model.SetSlow(slowFactor)
 			w.engines["D"].model.SetSlow(slowFactor)
 		}},
-		{Name: "burst, instances cut apart", burst: true, fault: func(w *world, _ func() []*job) {
-			w.cut = true
+		{Name: "burst, instances cut apart", burst: true, fault: func(w *simulation, _ func() []*job) {
+			w.partitioned = true
 			w.after(suspectAfter, func() {
 				for _, i := range w.instances {
-					w.forget(i)
+					w.dropLoad(i)
 				}
 			})
 		}},
-		{Name: "burst, instance killed", burst: true, fault: func(w *world, jobs func() []*job) { w.kill(w.instances[0], jobs()) }},
+		{Name: "burst, instance killed", burst: true, fault: func(w *simulation, jobs func() []*job) { w.kill(w.instances[0], jobs()) }},
 	}
 }
 
-// arrivals draws the workload of a scenario: Poisson arrivals at a share of the
-// capacity that changes with the burst.
+// arrivals draws the workload of a scenario: Poisson arrivals at a multiple of the capacity, which is higher
+// during the burst.
 func arrivals(d Deployment, s Scenario, seed uint64) []*arrival {
 	g := newGenerator(seed, d.classes)
 	capacity := d.capacity()
 	var out []*arrival
 	for t := time.Duration(0); t < lastArrival; {
-		load := quietLoad
-		if s.burst && t >= burstBegins && t < burstEnds {
+		load := normalLoad
+		if s.burst && t >= burstStart && t < burstEnd {
 			load = burstLoad
 		}
 		t += time.Duration(g.random.ExpFloat64() / (capacity * load) * float64(time.Second))
@@ -67,29 +69,29 @@
 	return out
 }
 
-// Run runs one scenario under one policy and seed.
+// Run runs one scenario with one policy and seed. The same arguments give the same result.
 func Run(d Deployment, s Scenario, p Policy, seed uint64) *Result {
-	w := newWorld(d, p, seed)
-	longest := time.Duration(0)
+	w := newSimulation(d, p, seed)
+	maxTimeout := time.Duration(0)
 	for _, c := range d.classes {
-		longest = max(longest, c.timeout)
+		maxTimeout = max(maxTimeout, c.timeout)
 	}
 	for n, a := range arrivals(d, s, seed) {
-		w.at(a.at, func() { w.arrive(a, w.live(n)) })
+		w.at(a.at, func() { w.arrive(a, w.selectInstance(n)) })
 	}
 	for _, i := range w.instances {
-		w.at(0, func() { w.poll(i, lastArrival+longest) })
-		w.at(0, func() { w.beat(i, lastArrival+longest) })
+		w.at(0, func() { w.poll(i, lastArrival+maxTimeout) })
+		w.at(0, func() { w.sendHeartbeats(i, lastArrival+maxTimeout) })
 	}
 	if s.fault != nil {
-		w.at(faultAt, func() { s.fault(w, func() []*job { return w.jobs }) })
+		w.at(faultTime, func() { s.fault(w, func() []*job { return w.jobs }) })
 	}
 	w.run()
 	return w.result
 }
 
-// live is the balancer before the instances: it takes them in turn.
-func (w *world) live(n int) *simInstance {
+// selectInstance is the balancer in front of the instances: round robin without dead instances.
+func (w *simulation) selectInstance(n int) *simInstance {
 	i := w.instances[n%len(w.instances)]
 	if i.dead {
 		return w.instances[(n+1)%len(w.instances)]
@@ -97,13 +99,13 @@
 	return i
 }
 
-// Row is one line of the report: a policy in a scenario over all seeds.
+// Row is one line of the report: the result of a policy in a scenario over all seeds.
 type Row struct {
 	Deployment, Scenario, Policy string
 	Result                       *Result
 }
 
-// All runs every scenario of every deployment under every policy at the seeds.
+// All runs every scenario of every deployment with every policy and seed.
 func All(policies []Policy, seeds []uint64) []Row {
 	var rows []Row
 	for _, d := range []Deployment{Addis(), Colombo()} {
@@ -116,6 +118,7 @@
 	return rows
 }
 
+// overSeeds runs the seeds concurrently and merges their results.
 func overSeeds(d Deployment, s Scenario, p Policy, seeds []uint64) *Result {
 	results := make([]*Result, len(seeds))
 	var all sync.WaitGroup
@@ -125,7 +128,7 @@
 	all.Wait()
 	total := newResult()
 	for _, r := range results {
-		total.add(r)
+		total.merge(r)
 	}
 	return total
 }
@@ -140,13 +143,13 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%v\t%d/%d\t%d/%d\t%s\t%d\n", r.Deployment, r.Scenario, r.Policy,
 			100*x.Goodput(0), 100*x.Goodput(1), 100*x.Goodput(2), 100*x.Goodput(3), 100*x.TotalGoodput(), 100*x.WastedShare(), 100*float64(x.RecomputedTokens)/float64(max(x.PrefilledTokens, 1)), x.Late,
 			x.TopTierTTFT.ValueAtQuantile(50), x.TopTierTTFT.ValueAtQuantile(95), x.TTFT.ValueAtQuantile(50), x.TTFT.ValueAtQuantile(95),
-			sheds(x), x.Violations)
+			formatSheds(x), x.Violations)
 	}
 	return w.Flush()
 }
 
-// sheds words the sheds of each tier by reason.
-func sheds(r *Result) string {
+// formatSheds lists the sheds of each tier by reason.
+func formatSheds(r *Result) string {
 	var parts []string
 	for tier, reasons := range r.Sheds {
 		var names []string
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -1,7 +1,6 @@
-// Package experiment measures the scheduling policy in virtual time: the real
-// decision packages between a seeded workload and stand-in engines of one
-// availability zone, side by side with baselines. It is no simulator of a
-// cluster: no network, no daemon and no peer protocol are in it, only decisions.
+// Package experiment compares the scheduling policy with baselines in virtual time. It runs the real
+// scheduling packages between a seeded workload and model engines of one availability zone. It doesn't
+// simulate a cluster: there is no network, no daemon and no peer protocol.
 package experiment
 
 import (
@@ -13,28 +12,28 @@
 	"github.com/tacktally/tacktally/internal/standin/engine"
 )
 
-// class is a sort of request: its tier and how long its prompts and answers are.
+// class is a class of requests, with their tier, share and lengths.
 type class struct {
 	tier       int
-	share      float64 // of all requests
-	promptLow  float64 // tokens
-	promptHigh float64
-	output     float64 // mean tokens
-	limit      int     // output limit asked for
+	share      float64 // share of all requests
+	promptLow  float64 // minimum prompt length in tokens, without system
+	promptHigh float64 // maximum prompt length in tokens, without system
+	output     float64 // mean output length in tokens
+	limit      int     // requested output limit in tokens
 	firstToken time.Duration
 	timeout    time.Duration
-	revisit    float64 // share that goes on with an earlier prompt
-	system     int     // tokens that all of an organisation's requests begin with
+	revisit    float64 // share that continues an earlier prompt
+	system     int     // tokens of the prefix that all requests of the class and an organisation share
 }
 
-// Deployment is one availability zone of a user.
+// Deployment is one availability zone with its engines and its workload.
 type Deployment struct {
 	Name    string
 	engines []engine.Spec
 	classes []class
 }
 
-// generation returns so many engines of one generation of hardware.
+// generation returns n engines of one hardware generation.
 func generation(n int, prefill float64, base, perSequence time.Duration, slots, cache int) []engine.Spec {
 	out := make([]engine.Spec, n)
 	for i := range out {
@@ -50,7 +49,8 @@
 	return out
 }
 
-// Addis is Gebremedhin's: 14 unlike engines, short live quotes and long inventories.
+// Addis returns the deployment of Gebremedhin: 14 engines of different speed, short live quotes and long
+// inventories.
 func Addis() Deployment {
 	return Deployment{
 		Name: "Addis",
@@ -68,8 +68,8 @@
 	}
 }
 
-// Colombo is Wijesinghe's: 13 unlike engines, counter matches and long dossiers
-// that are read again and again.
+// Colombo returns the deployment of Wijesinghe: 13 engines of different speed, counter matches and long
+// dossiers that are prefilled repeatedly.
 func Colombo() Deployment {
 	return Deployment{
 		Name: "Colombo",
@@ -87,34 +87,33 @@
 	}
 }
 
-// organisations and how much of the load is each one's: a few are large.
+// organisations holds the organisations and their shares of the load: a few are large.
 var organisations = []struct {
 	name  string
 	share float64
 }{{"a", 0.42}, {"b", 0.30}, {"c", 0.15}, {"d", 0.09}, {"e", 0.04}}
 
-// arrival is one request of the workload. The same seed gives the same arrivals
-// to every policy.
+// arrival is one request of the workload. The same seed gives the same arrivals for every policy.
 type arrival struct {
 	at           time.Duration
 	class        *class
 	organisation string
 	prompt       int
 	output       int
-	chain        []uint64
+	prefixHashes []uint64
 }
 
 // generator draws the workload.
 type generator struct {
 	random   *rand.Rand
 	classes  []class
-	sessions map[int][][]uint64 // by class, chains that may be gone on with
+	sessions map[int][][]uint64 // by class, prefix hashes of prompts that may be continued
 }
 
 const (
-	maxSessions = 200
-	// tail shapes the heavy tail of prompt lengths.
-	tail = 1.1
+	maxSessionsPerClass = 200
+	// paretoShape is the shape parameter of the heavy-tailed distribution of prompt lengths.
+	paretoShape = 1.1
 )
 
 func newGenerator(seed uint64, classes []class) *generator {
@@ -123,16 +122,17 @@
 
 // draw returns one request that arrives at the given time.
 func (g *generator) draw(at time.Duration) *arrival {
-	i := g.pickClass()
+	i := g.drawClass()
 	c := &g.classes[i]
-	a := &arrival{at: at, class: c, organisation: g.pickOrganisation()}
-	a.prompt = g.length(c.promptLow, c.promptHigh) + c.system
+	a := &arrival{at: at, class: c, organisation: g.drawOrganisation()}
+	a.prompt = g.drawLength(c.promptLow, c.promptHigh) + c.system
 	a.output = min(max(int(g.random.ExpFloat64()*c.output), 1), c.limit)
-	a.chain = g.chain(i, a)
+	a.prefixHashes = g.drawPrefixHashes(i, a)
 	return a
 }
 
-func (g *generator) pickClass() int {
+// drawClass draws a class by the shares of the classes, and returns its index.
+func (g *generator) drawClass() int {
 	x := g.random.Float64()
 	for i, c := range g.classes {
 		if x -= c.share; x < 0 {
@@ -142,7 +142,8 @@
 	return len(g.classes) - 1
 }
 
-func (g *generator) pickOrganisation() string {
+// drawOrganisation draws an organisation by its share of the load.
+func (g *generator) drawOrganisation() string {
 	x := g.random.Float64()
 	for _, o := range organisations {
 		if x -= o.share; x < 0 {
@@ -152,41 +153,41 @@
 	return organisations[0].name
 }
 
-// length draws from a bounded Pareto distribution.
-func (g *generator) length(low, high float64) int {
+// drawLength draws a prompt length from a bounded Pareto distribution.
+func (g *generator) drawLength(low, high float64) int {
 	u := g.random.Float64()
-	l, h := math.Pow(low, tail), math.Pow(high, tail)
-	return int(math.Pow(-(u*h-u*l-h)/(h*l), -1/tail))
+	l, h := math.Pow(low, paretoShape), math.Pow(high, paretoShape)
+	return int(math.Pow(-(u*h-u*l-h)/(h*l), -1/paretoShape))
 }
 
-// chain makes the prompt's prefix sums: the organisation's beginning, then an
-// earlier prompt where the request goes on with one, then blocks of its own.
-func (g *generator) chain(i int, a *arrival) []uint64 {
+// drawPrefixHashes returns the prefix hashes of a prompt: those of an earlier prompt where the request
+// continues one, otherwise those of the shared prefix, then unique blocks. It may lengthen a.prompt.
+func (g *generator) drawPrefixHashes(i int, a *arrival) []uint64 {
 	c := a.class
 	blocks := a.prompt / prefix.BlockTokens
-	var chain []uint64
-	if old := g.sessions[i]; len(old) > 0 && g.random.Float64() < c.revisit {
-		chain = append(chain, old[g.random.IntN(len(old))]...)
-		a.prompt = max(a.prompt, len(chain)*prefix.BlockTokens+30)
+	var hashes []uint64
+	if earlier := g.sessions[i]; len(earlier) > 0 && g.random.Float64() < c.revisit {
+		hashes = append(hashes, earlier[g.random.IntN(len(earlier))]...)
+		a.prompt = max(a.prompt, len(hashes)*prefix.BlockTokens+30)
 	} else {
 		for n := range min(c.system/prefix.BlockTokens, blocks) {
-			chain = append(chain, uint64(i+1)<<40|uint64(a.organisation[0])<<32|uint64(n))
+			hashes = append(hashes, uint64(i+1)<<40|uint64(a.organisation[0])<<32|uint64(n))
 		}
 	}
-	for len(chain) < a.prompt/prefix.BlockTokens {
-		chain = append(chain, g.random.Uint64())
+	for len(hashes) < a.prompt/prefix.BlockTokens {
+		hashes = append(hashes, g.random.Uint64())
 	}
 	if c.revisit > 0 {
-		g.sessions[i] = append(g.sessions[i], chain)
-		if len(g.sessions[i]) > maxSessions {
+		g.sessions[i] = append(g.sessions[i], hashes)
+		if len(g.sessions[i]) > maxSessionsPerClass {
 			g.sessions[i] = g.sessions[i][1:]
 		}
 	}
-	return chain
+	return hashes
 }
 
-// capacity is the requests a second that the engines can answer of the mix, from
-// the mean lengths that a generator draws, without any help of caches.
+// capacity returns the rate of the mix of requests that the engines can serve, in requests per second, from
+// the mean lengths that a generator draws and without any cache hits.
 func (d Deployment) capacity() float64 {
 	g := newGenerator(1, d.classes)
 	prompt, output := 0.0, 0.0
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -32,8 +32,8 @@
 	// Prompt and Output are the lengths of prompt and output, in tokens.
 	Prompt int
 	Output int
-	// Chain holds the prefix hashes of the prompt.
-	Chain []uint64
+	// PrefixHashes holds the prefix hashes of the prompt.
+	PrefixHashes []uint64
 	// Value is set by the caller and not used by the engine.
 	Value any
 
@@ -118,7 +118,7 @@
 			continue
 		}
 		if s.emitted == 0 {
-			m.cachePrompt(s.Chain)
+			m.cachePrompt(s.PrefixHashes)
 		}
 		s.emitted++
 		emitted = append(emitted, s)
@@ -135,11 +135,11 @@
 }
 
 // cachePrompt adds a prompt whose prefill is done to the cache.
-func (m *Model) cachePrompt(chain []uint64) {
+func (m *Model) cachePrompt(hashes []uint64) {
 	m.dropped = nil
-	m.cache.Add(chain)
+	m.cache.Add(hashes)
 	if m.onCache != nil {
-		m.onCache(chain, m.dropped)
+		m.onCache(hashes, m.dropped)
 	}
 }
 
@@ -148,7 +148,7 @@
 	for len(m.waiting) > 0 && len(m.running) < m.spec.Slots {
 		s := m.waiting[0]
 		m.waiting = m.waiting[1:]
-		cached := min(m.cache.Cached(s.Chain)*prefix.BlockTokens, s.Prompt-1)
+		cached := min(m.cache.Cached(s.PrefixHashes)*prefix.BlockTokens, s.Prompt-1)
 		m.CachedTokens += cached
 		s.toPrefill = s.Prompt - cached
 		m.running = append(m.running, s)
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -290,10 +290,10 @@
 	}
 	r := &run{id: rand.Text(), owner: owner, tag: tagOf(content), buffer: answer.New(true)}
 	r.sequence = &Sequence{
-		Prompt: max(len(prompt)/prefix.BytesPerToken, 1),
-		Output: output,
-		Chain:  prefix.Hashes(prompt),
-		Value:  r,
+		Prompt:       max(len(prompt)/prefix.BytesPerToken, 1),
+		Output:       output,
+		PrefixHashes: prefix.Hashes(prompt),
+		Value:        r,
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
