--- a/client/client_test.go
+++ b/client/client_test.go
@@ -81,7 +81,7 @@
 	c := connect(t, r.URL(1))
 	booked, err := c.Do(t.Context(), client.Request{Path: "/services/bookings/confirm", Body: []byte("7"), NonIdempotent: true})
 	is.NoErr(err)
-	is.Equal(string(booked.Body), service.Answer("7"))
+	is.Equal(string(booked.Body), service.ResponseBody("7"))
 	booked, err = c.Do(t.Context(), client.Request{Path: "/services/bookings/confirm", Body: []byte("8")}) // learns by the 428
 	is.NoErr(err)
 	is.Equal(booked.Attempts, 2)
@@ -159,7 +159,7 @@
 	defer server.Close()
 	booked, err := connect(t, server.URL).Do(t.Context(), client.Request{Path: "/services/bookings/confirm", Body: []byte("7"), NonIdempotent: true})
 	is.NoErr(err)
-	is.Equal(string(booked.Body), service.Answer("7"))
+	is.Equal(string(booked.Body), service.ResponseBody("7"))
 	is.Equal(booked.Attempts, 3)
 	is.Equal(len(r.Service.Calls()), 1)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// arrivals draws the workload of a scenario: Poisson arrivals at a multiple of the capacity, which is higher
-// during the burst.
+// arrivals draws the workload of a scenario: Poisson arrivals at a multiple of the capacity, which is
+// higher during the burst.
 func arrivals(d Deployment, s Scenario, seed uint64) []*arrival {
 	g := newGenerator(seed, d.classes)
 	capacity := d.capacity()
--- a/internal/faults/crosszone_test.go
+++ b/internal/faults/crosszone_test.go
@@ -20,7 +20,7 @@
 	here, there := f.daemons[0], f.daemons[1]
 	f.markLeaving(f.ip(100) + ":9001")
 	f.eventually("the list is in use", func() bool { return here.status().ListVersion == 2 })
-	is.Equal(here.send(call{path: lookupPath, body: "a"}).body, service.Answer("a"))
+	is.Equal(here.send(call{path: lookupPath, body: "a"}).body, service.ResponseBody("a"))
 	is.Equal(here.metric(`tacktally_retries_total{reason="retry_other_zone"}`), 1.0)
 	r := here.send(call{path: releasePath, body: "b", key: here.issue()})
 	is.Equal(r.problem.Reason, api.ReasonNoUpstream)
@@ -57,6 +57,6 @@
 	is.Equal((<-arrived).Body, "spilled")
 	is.Equal(f.daemons[1].status().InFlight, 1)
 	close(hold)
-	is.Equal((<-spilled).body, service.Answer("spilled"))
+	is.Equal((<-spilled).body, service.ResponseBody("spilled"))
 	all.Wait()
 }
--- a/internal/faults/keys_test.go
+++ b/internal/faults/keys_test.go
@@ -20,7 +20,7 @@
 	issuer, other := f.daemons[0], f.daemons[1]
 	key := issuer.issue()
 	again := call{path: releasePath, body: "a", key: key}
-	is.Equal(issuer.send(again).body, service.Answer("a"))
+	is.Equal(issuer.send(again).body, service.ResponseBody("a"))
 	uncertain := func(r reply, reason api.Reason) {
 		t.Helper()
 		is.Equal(r.problem.Reason, reason)
@@ -80,12 +80,12 @@
 				return *c
 			}
 			if c.before != nil {
-				is.Equal(first.send(with(c.before)).body, service.Answer(name))
+				is.Equal(first.send(with(c.before)).body, service.ResponseBody(name))
 			}
 			r := other.send(with(c.send))
 			is.Equal(r.problem.Reason, c.reason)
 			if c.reason == "" {
-				is.Equal(r.body, service.Answer(name))
+				is.Equal(r.body, service.ResponseBody(name))
 			}
 			is.Equal(f.runCount(name), c.runs)
 			is.Equal(f.runCount("changed"), 0)
@@ -102,7 +102,7 @@
 	is.Equal(r.status, http.StatusPreconditionRequired)
 	is.Equal(r.outcome, api.NotRun)
 	key := r.problem.IdempotencyKey
-	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.Answer("a"))
+	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.ResponseBody("a"))
 	for name, c := range map[string]call{
 		"another body":         {path: releasePath, body: "b", key: key},
 		"another organisation": {path: releasePath, body: "a", key: key, apiKey: otherKey},
--- a/internal/faults/malformed_test.go
+++ b/internal/faults/malformed_test.go
@@ -77,7 +77,7 @@
 	is.NoErr(err)
 	f.eventually("the request has run", func() bool { return len(f.service.Calls()) == 1 })
 	f.eventually("the caller is disconnected", func() bool { return p.metric("tacktally_callers_held") == 0 })
-	is.Equal(p.send(call{path: releasePath, body: body, key: key}).body, service.Answer(body))
+	is.Equal(p.send(call{path: releasePath, body: body, key: key}).body, service.ResponseBody(body))
 	is.Equal(len(f.service.Calls()), 1)
 }
 
--- a/internal/faults/matrix_test.go
+++ b/internal/faults/matrix_test.go
@@ -270,7 +270,7 @@
 // expectedResponse returns the only correct response to the request.
 func (c *cell) expectedResponse() string {
 	if !c.model {
-		return service.Answer(c.body)
+		return service.ResponseBody(c.body)
 	}
 	out := ""
 	for n := 1; n <= 5; n++ {
--- a/internal/faults/membership_test.go
+++ b/internal/faults/membership_test.go
@@ -30,12 +30,12 @@
 		return i.Address == missing.ip+":7004"
 	}))
 	f.eventually("the list is in use", func() bool { return other.status().ListVersion == 2 })
-	is.Equal(other.send(call{path: releasePath, body: "a", key: missing.issue()}).body, service.Answer("a"))
+	is.Equal(other.send(call{path: releasePath, body: "a", key: missing.issue()}).body, service.ResponseBody("a"))
 	other.kill()
 	other.start()
 	other.waitReady()
 	f.eventually("the missing instance is linked", func() bool { return other.reachable() == 1 })
-	is.Equal(other.send(call{path: releasePath, body: "b", key: missing.issue()}).body, service.Answer("b"))
+	is.Equal(other.send(call{path: releasePath, body: "b", key: missing.issue()}).body, service.ResponseBody("b"))
 }
 
 // A peer that restarts at the same address is a new incarnation. Requests with keys of the old one are
@@ -56,7 +56,7 @@
 		is.Equal(r.outcome, api.Unknown)
 	}
 	is.Equal(f.runCount("a"), 0)
-	is.Equal(other.send(call{path: releasePath, body: "b", key: issuer.issue()}).body, service.Answer("b"))
+	is.Equal(other.send(call{path: releasePath, body: "b", key: issuer.issue()}).body, service.ResponseBody("b"))
 }
 
 // A stream whose deadline has passed is cancelled at its engine. A stream whose caller has left isn't,
--- a/internal/faults/orders_test.go
+++ b/internal/faults/orders_test.go
@@ -89,7 +89,7 @@
 	f := newConfiguredFleet(t, func(s *settings.Settings) { s.Upstreams.WeightLoadsPerMinute = 100 }, "fort")
 	f.publishAdapter(2, "v2", true)
 	f.eventually("version 2 is loaded", f.adapterLoaded("v2"))
-	f.engine.Orders.Forget()
+	f.engine.Orders.Reset()
 	f.eventually("version 2 is loaded again", f.adapterLoaded("v2"))
 }
 
--- a/internal/faults/processes_test.go
+++ b/internal/faults/processes_test.go
@@ -108,7 +108,7 @@
 			f.daemons[0].send(call{path: chatPath, body: prompt("x", true)}).outcome == api.Answered
 	})
 	key := f.daemons[0].issue()
-	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.Answer("a")) // forwarded
+	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.ResponseBody("a")) // forwarded
 	seen := map[string]bool{}
 	f.eventually("both engines are used", func() bool {
 		replies := make(chan reply, 40)
--- a/internal/faults/random_test.go
+++ b/internal/faults/random_test.go
@@ -109,7 +109,7 @@
 // newTask returns a call or a streamed model request at random. Both may run at most once.
 func newTask(random *rand.Rand, name string) task {
 	if random.IntN(2) == 0 {
-		return task{path: releasePath, body: name, response: service.Answer(name)}
+		return task{path: releasePath, body: name, response: service.ResponseBody(name)}
 	}
 	body := prompt(name, true)
 	want := ""
--- a/internal/faults/responses_test.go
+++ b/internal/faults/responses_test.go
@@ -27,9 +27,9 @@
 	}
 	isolated.platformRelay.Partition("")
 	f.eventually("the instance is isolated", func() bool { return isolated.reachable() == 0 })
-	is.Equal(isolated.send(call{path: lookupPath, body: "a"}).body, service.Answer("a"))
-	is.Equal(isolated.send(call{path: releasePath, body: "b", key: isolated.issue()}).body, service.Answer("b"))
-	is.Equal(isolated.send(call{path: releasePath, body: "c", key: "my-own-id", attempt: "1"}).body, service.Answer("c"))
+	is.Equal(isolated.send(call{path: lookupPath, body: "a"}).body, service.ResponseBody("a"))
+	is.Equal(isolated.send(call{path: releasePath, body: "b", key: isolated.issue()}).body, service.ResponseBody("b"))
+	is.Equal(isolated.send(call{path: releasePath, body: "c", key: "my-own-id", attempt: "1"}).body, service.ResponseBody("c"))
 	// A key of the other side can't be verified here and is refused immediately.
 	r := isolated.send(call{path: releasePath, body: "d", key: old, timeout: 300 * time.Millisecond})
 	is.Equal(r.problem.Reason, api.ReasonIssuerUnreachable)
@@ -38,7 +38,7 @@
 		heal(isolated, p)
 	}
 	f.eventually("the partition has healed", func() bool { return isolated.reachable() == 2 })
-	is.Equal(isolated.send(call{path: releasePath, body: "d", key: old}).body, service.Answer("d"))
+	is.Equal(isolated.send(call{path: releasePath, body: "d", key: old}).body, service.ResponseBody("d"))
 	is.Equal(f.runCount("d"), 1)
 }
 
@@ -50,7 +50,7 @@
 	f := newFleet(t, "fort", "fort")
 	const n = 8
 	holds := make([]chan struct{}, n)
-	answers := make([]reply, n)
+	replies := make([]reply, n)
 	arrived := make(chan service.Call)
 	var all sync.WaitGroup
 	for i := range n {
@@ -58,7 +58,7 @@
 		f.service.SetFaults(service.Faults{Arrived: arrived, Hold: holds[i]})
 		key := f.daemons[0].issue()
 		all.Go(func() {
-			answers[i] = f.daemons[i%2].send(call{path: releasePath, body: fmt.Sprint("quote ", i), key: key})
+			replies[i] = f.daemons[i%2].send(call{path: releasePath, body: fmt.Sprint("quote ", i), key: key})
 		})
 		<-arrived
 	}
@@ -67,7 +67,7 @@
 	}
 	all.Wait()
 	for i := range n {
-		is.Equal(answers[i].body, service.Answer(fmt.Sprint("quote ", i)))
+		is.Equal(replies[i].body, service.ResponseBody(fmt.Sprint("quote ", i)))
 	}
 }
 
--- a/internal/faults/shutdown_test.go
+++ b/internal/faults/shutdown_test.go
@@ -48,9 +48,9 @@
 	held.Wait()
 	<-leaving.exited
 	is.Equal(leaving.command.ProcessState.ExitCode(), 0)
-	is.Equal(replies[0].body, service.Answer("a"))
+	is.Equal(replies[0].body, service.ResponseBody("a"))
 	is.True(strings.HasSuffix(replies[1].body, "data: [DONE]\n\n"))
-	is.Equal(replies[2].body, service.Answer("c"))
+	is.Equal(replies[2].body, service.ResponseBody("c"))
 	is.Equal(f.runCount("new"), 0)
 }
 
@@ -70,7 +70,7 @@
 	leaving.signal(syscall.SIGTERM)
 	f.eventually("the instance drains", func() bool { return leaving.status().Draining })
 	close(hold)
-	is.Equal((<-got).body, service.Answer("a"))
+	is.Equal((<-got).body, service.ResponseBody("a"))
 	<-leaving.exited
 	is.Equal(leaving.command.ProcessState.ExitCode(), 0)
 }
--- a/internal/faults/tls_test.go
+++ b/internal/faults/tls_test.go
@@ -111,7 +111,7 @@
 		s.Peers.TLS = a.issue(host)
 	}, "fort", "fort")
 	key := f.daemons[0].issue()
-	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.Answer("a"))
+	is.Equal(f.daemons[1].send(call{path: releasePath, body: "a", key: key}).body, service.ResponseBody("a"))
 
 	unauthenticated := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.pool()}}}
 	_, err := unauthenticated.Get("https://" + f.daemons[0].ip + ":7003/peer")
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -66,8 +66,8 @@
 // Mix holds the relative frequency of each fault.
 type Mix map[Fault]int
 
-// AllFaultsMix is a mix of all faults that don't belong to one of the special mixes below.
-var AllFaultsMix = Mix{
+// GeneralMix is a mix of all faults except evacuations, restores, and notices and limits of upstreams.
+var GeneralMix = Mix{
 	Kill: 4, Terminate: 4, Pause: 4, Reload: 2, SourceOutage: 3, SourceLink: 3, UpstreamLink: 4, PeerLink: 4, Replace: 2, Revoke: 2, Change: 3, Stuck: 3,
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Forget clears the state, as a restart of the engine does.
-func (o *Orders) Forget() {
+// Reset clears the state, as a restart of the engine does.
+func (o *Orders) Reset() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.state = orders.State{}
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// emit writes the event of the last token to the buffer, and the end after the last one.
+// emit writes the event of the latest token to the buffer, and finishes the buffer after the final one.
 func (r *run) emit() {
 	n := r.sequence.Emitted()
 	content, _ := json.Marshal(chunk(r, n))
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -59,8 +59,8 @@
 	return append([]Call(nil), s.calls...)
 }
 
-// Answer returns the response body to a request body.
-func Answer(body string) string { return "done: " + body }
+// ResponseBody returns the response body to a request body.
+func ResponseBody(body string) string { return "done: " + body }
 
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, h *http.Request) {
@@ -87,9 +87,9 @@
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	if f.TruncateBody {
-		w.Header().Set("Content-Length", fmt.Sprint(len(Answer(string(body)))+1))
+		w.Header().Set("Content-Length", fmt.Sprint(len(ResponseBody(string(body)))+1))
 	}
-	_, _ = io.WriteString(w, Answer(string(body)))
+	_, _ = io.WriteString(w, ResponseBody(string(body)))
 	if f.TruncateBody {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
