--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,9 +1,8 @@
-// Package upstream sends one request to one upstream and relays its answer.
+// Package upstream sends one request to one upstream and relays the response.
 //
-// It never repeats a request by itself, and it keeps net/http from doing so: a
-// non-idempotent request gets a transport and a connection of its own, and no
-// redirect is followed. The Result tells whether anything was written, so that
-// the dispatcher knows what may be tried elsewhere.
+// It never retries a request, and it prevents net/http from doing so: a non-idempotent request gets
+// its own transport and connection, and redirects aren't followed. The Result reports whether a
+// byte was written, so that the dispatcher knows what may be retried elsewhere.
 package upstream
 
 import (
@@ -26,15 +25,15 @@
 
 // Headers between the daemon and engines.
 const (
-	// HeaderStreamID names a stream at its engine, for resuming and cancelling.
+	// HeaderStreamID identifies a stream at its engine, for resuming and cancelling.
 	HeaderStreamID = "Engine-Stream-Id"
-	// HeaderLeaving is "true" on answers of an upstream that is leaving.
+	// HeaderLeaving is "true" in responses of an upstream that is leaving.
 	HeaderLeaving = "Upstream-Leaving"
-	// HeaderForwardedID carries the request ID to the upstream. It isn't named
-	// Idempotency-Key, which would make net/http repeat the request.
+	// HeaderForwardedID carries the request ID to the upstream. It isn't named Idempotency-Key,
+	// since net/http retries requests with that header.
 	HeaderForwardedID = "Tacktally-Request-Id"
-	// HeaderOwner names the organisation a stream belongs to. An engine gives a
-	// stream only to its owner.
+	// HeaderOwner names the organisation that a stream belongs to. An engine gives a stream only to
+	// its owner.
 	HeaderOwner = "Stream-Owner"
 )
 
@@ -45,42 +44,42 @@
 	idleConnTimeout  = 90 * time.Second
 )
 
-// Status says how a call ended.
+// Status is how a call ended.
 type Status uint8
 
 // The statuses.
 const (
-	// Done: the whole answer was relayed.
+	// Done: the whole response was relayed.
 	Done Status = iota
-	// NotWritten: not a byte of the request was written.
+	// NotWritten: no byte of the request was written.
 	NotWritten
-	// Busy: the upstream refused for lack of room before it ran anything.
+	// Busy: the upstream refused the request for lack of capacity, before running anything.
 	Busy
-	// Lost: the connection broke after writing, before the answer began.
+	// Lost: the connection failed after the request was written, before the response began.
 	Lost
-	// Truncated: the answer ended before its end.
+	// Truncated: the response ended early.
 	Truncated
-	// InvalidResponse: the answer breaks its protocol.
+	// InvalidResponse: the response violates its protocol.
 	InvalidResponse
 	// Timeout: the deadline passed after the request was written.
 	Timeout
-	// Cancelled: the caller went away.
+	// Cancelled: the caller disconnected after the request was written.
 	Cancelled
 )
 
-// Result is the end of a call.
+// Result is how a call ended.
 type Result struct {
 	Status Status
-	// Err says what went wrong, for the log.
+	// Err is the cause, for logs and problem details; nil if Status is Done.
 	Err error
 	// OutputTokens is the number of output tokens relayed in this call.
 	OutputTokens int
-	// StreamID and Events let a cut stream be resumed.
+	// StreamID and Events identify the position at which a truncated stream can be resumed.
 	StreamID string
 	Events   int
-	// Leaving is the upstream's own word that it leaves.
+	// Leaving reports whether the upstream announced in the response that it leaves.
 	Leaving bool
-	// RetryAfter of a busy upstream.
+	// RetryAfter is the retry delay that a busy upstream requested; 0 if it named none.
 	RetryAfter time.Duration
 }
 
@@ -88,26 +87,28 @@
 type Call struct {
 	Address string
 	Request *request.Request
-	// Instance and Revision are put into the answer's head.
+	// Instance and Revision are set in the head of the response.
 	Instance string
 	Revision int64
-	// StreamID resumes a stream after so many Events.
+	// StreamID resumes a stream after its first SkipEvents events. Empty for a new request.
 	StreamID   string
 	SkipEvents int
-	// BeforeWrite is asked right before the first byte is written; an error stops the
-	// call with NotWritten. It must not block.
+	// BeforeWrite is called before the first byte is written: right before it for a non-idempotent
+	// request, before a connection is selected for an idempotent one. An error stops the call with
+	// NotWritten. It must not block.
 	BeforeWrite func() error
-	// OnFirstOutput is called at the first token or the head of an answer.
+	// OnFirstOutput is called at the first event of a stream, or at the head of a service's
+	// response.
 	OnFirstOutput func()
 }
 
-// Client calls upstreams. Safe for concurrent use.
+// Client calls upstreams. It is safe for concurrent use.
 type Client struct {
 	dialer *net.Dialer
 	pooled *http.Transport
 }
 
-// NewClient returns a client.
+// NewClient returns a client that waits for at most connectTimeout to open a connection.
 func NewClient(connectTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &Client{
@@ -124,17 +125,18 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.pooled.CloseIdleConnections() }
 
-// CheckConnection makes a connection to an upstream and closes it.
+// CheckConnection opens a connection to an upstream and closes it. It blocks for at most the
+// connection timeout.
 func (c *Client) CheckConnection(ctx context.Context, address string) error {
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		_ = conn.Close() // nothing was said on it
+		_ = conn.Close() // nothing was sent on it
 	}
 	return err
 }
 
-// Do sends the request once and relays the answer into the buffer. It doesn't
-// finish the buffer. It blocks until the answer ends or ctx does.
+// Do sends the request once and relays the response into the buffer, which it doesn't finish. It
+// blocks until the response ends or ctx is done.
 func (c *Client) Do(ctx context.Context, call Call, b *answer.Buffer) Result {
 	h, err := newRequest(ctx, call)
 	if err != nil {
@@ -150,7 +152,7 @@
 	return result
 }
 
-// roundTrip returns whether anything was written when it fails.
+// roundTrip returns the response, or an error and whether a byte may have been written.
 func (c *Client) roundTrip(h *http.Request, call Call) (*http.Response, bool, error) {
 	if !call.Request.NonIdempotent {
 		if err := call.BeforeWrite(); err != nil {
@@ -194,14 +196,14 @@
 	}
 }
 
-var errSecondConnection = errors.New("a non-idempotent request asked for a second connection; this is refused")
+var errSecondConnection = errors.New("refused a second connection for a non-idempotent request")
 
-// onceConn lets one connection be made, and asks the guard before its first byte.
+// guardedConn allows a single connection to be opened, and calls beforeWrite before its first byte.
 type guardedConn struct {
 	net.Conn
 	beforeWrite func() error
 	used        atomic.Bool
-	checked     bool // Write is only called by one goroutine of the transport
+	checked     bool // only accessed by Write, which one goroutine of the transport calls
 	wrote       atomic.Bool
 }
 
@@ -226,7 +228,7 @@
 	return o.Conn.Write(p)
 }
 
-// newRequest builds the HTTP request of a call.
+// newRequest returns the HTTP request of a call.
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	r := call.Request
 	s := sling.New().Base("http://" + call.Address)
@@ -242,13 +244,13 @@
 	}
 	h, err := s.Set(HeaderForwardedID, r.ID).Set(HeaderOwner, r.Organisation).Request()
 	if err != nil {
-		return nil, fmt.Errorf("request %s can't be built for %s: %w", r.ID, call.Address, err)
+		return nil, fmt.Errorf("build request %s for upstream %s: %w", r.ID, call.Address, err)
 	}
 	return h.WithContext(ctx), nil
 }
 
-// serviceCall passes a call on. Its URL is built from parts and not resolved against
-// the base, so that no path can name another host.
+// serviceCall returns the call to a service. The URL is built from its components and not resolved
+// against the base URL, so that no path can name another host.
 func serviceCall(s *sling.Sling, address string, r *request.Request) *sling.Sling {
 	u := url.URL{Scheme: "http", Host: address, Path: r.Path, RawPath: r.RawPath, RawQuery: r.Query}
 	target := u.String()
@@ -277,8 +279,8 @@
 	return s
 }
 
-// CancelStream tells an engine to stop an organisation's stream. A failure is of no
-// consequence but for the engine's time.
+// CancelStream requests an engine to stop a stream of an organisation. Errors are ignored: the only
+// effect of a failure is that the engine runs the stream to its end.
 func (c *Client) CancelStream(ctx context.Context, address, streamID, organisation string) {
 	h, err := sling.New().Base("http://"+address).Delete("/v1/streams/"+streamID).Set(HeaderOwner, organisation).Request()
 	if err != nil {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -17,8 +17,7 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// rawUpstream answers each connection with a function, and counts the requests it
-// has read.
+// rawUpstream handles each connection with a function and counts the requests read.
 type rawUpstream struct {
 	listener net.Listener
 	read     atomic.Int32
@@ -77,9 +76,9 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A non-idempotent request is written at most once, whatever the upstream does
-// and whichever method it has.
-func TestNonIdempotentIsWrittenOnce(t *testing.T) {
+// A non-idempotent request is written at most once, whatever the upstream does and whichever method
+// the request has.
+func TestNonIdempotentRequestIsWrittenOnce(t *testing.T) {
 	closeAfterRequest := func(u *rawUpstream, _ int, _ net.Conn, r *bufio.Reader) { u.readRequest(r) }
 	for name, c := range map[string]struct {
 		method string
@@ -87,7 +86,7 @@
 		status Status
 	}{
 		"closed after the request": {"POST", closeAfterRequest, Lost},
-		"GET closed after it":      {"GET", closeAfterRequest, Lost},
+		"GET closed after request": {"GET", closeAfterRequest, Lost},
 		"reset": {"POST", func(u *rawUpstream, _ int, c net.Conn, r *bufio.Reader) {
 			u.readRequest(r)
 			_ = c.(*net.TCPConn).SetLinger(0)
@@ -96,7 +95,7 @@
 			u.readRequest(r)
 			fmt.Fprintf(c, "HTTP/1.1 307 Temporary Redirect\r\nLocation: /release\r\nContent-Length: 0\r\n\r\n")
 		}, Done},
-		"asked to come back": {"POST", func(u *rawUpstream, _ int, c net.Conn, r *bufio.Reader) {
+		"asked to retry later": {"POST", func(u *rawUpstream, _ int, c net.Conn, r *bufio.Reader) {
 			u.readRequest(r)
 			fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nContent-Length: 0\r\n\r\n")
 		}, Done},
@@ -104,7 +103,7 @@
 			u.readRequest(r)
 			fmt.Fprintf(c, "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 		}, Done},
-		"cut in the answer": {"POST", func(u *rawUpstream, _ int, c net.Conn, r *bufio.Reader) {
+		"truncated response": {"POST", func(u *rawUpstream, _ int, c net.Conn, r *bufio.Reader) {
 			u.readRequest(r)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nok")
 		}, Truncated},
@@ -114,7 +113,7 @@
 			u := listenRaw(t, c.serve)
 			client := NewClient(time.Second)
 			defer client.Close()
-			// An idempotent call first, so that a connection could be reused.
+			// An idempotent call first, so that an idle connection exists that could be reused.
 			_, _ = do(t, client, u.listener.Addr().String(), service("POST", false), allow)
 			before := u.read.Load()
 			res, _ := do(t, client, u.listener.Addr().String(), service(c.method, true), allow)
@@ -124,9 +123,9 @@
 	}
 }
 
-// The upstream closes a kept connection just as the next request is written: the
-// case in which net/http repeats a request that it may.
-func TestKeptConnectionIsNotUsedForNonIdempotent(t *testing.T) {
+// The upstream closes an idle connection while the next request is written. In this case net/http
+// retries requests that it considers idempotent.
+func TestNonIdempotentRequestDoesNotReuseAConnection(t *testing.T) {
 	is := is.New(t)
 	u := listenRaw(t, func(u *rawUpstream, n int, c net.Conn, r *bufio.Reader) {
 		if u.readRequest(r) && n == 0 {
@@ -144,7 +143,7 @@
 	is.Equal(u.read.Load(), int32(2))
 }
 
-func TestGuardIsAskedBeforeTheFirstByte(t *testing.T) {
+func TestBeforeWriteRunsBeforeTheFirstByte(t *testing.T) {
 	is := is.New(t)
 	u := listenRaw(t, func(u *rawUpstream, _ int, _ net.Conn, r *bufio.Reader) { u.readRequest(r) })
 	stale := errors.New("stale")
@@ -158,7 +157,7 @@
 	is.Equal(u.read.Load(), int32(0))
 }
 
-func TestRefusedConnectionIsNotWritten(t *testing.T) {
+func TestRefusedConnectionCountsAsNotWritten(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -169,8 +168,8 @@
 	}
 }
 
-// Answers of model engines, good and bad.
-func TestModelAnswers(t *testing.T) {
+// Valid and invalid responses of engines.
+func TestEngineResponses(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nConnection: close\r\n%s\r\n%s"
 	for name, c := range map[string]struct {
 		stream bool
@@ -181,14 +180,14 @@
 		"whole":              {false, fmt.Sprintf(head, "application/json", "", `{"usage":{"completion_tokens":3}}`), Done, 3},
 		"stream":             {true, fmt.Sprintf(head, "text/event-stream", "", "data: a\n\ndata: b\n\ndata: [DONE]\n\n"), Done, 2},
 		"broken JSON":        {false, fmt.Sprintf(head, "application/json", "", `{"usage":`), InvalidResponse, 0},
-		"no JSON":            {false, fmt.Sprintf(head, "text/html", "", `<html>`), InvalidResponse, 0},
-		"cut whole":          {false, fmt.Sprintf(head, "application/json", "Content-Length: 50\r\n", `{}`), Lost, 0},
+		"not JSON":           {false, fmt.Sprintf(head, "text/html", "", `<html>`), InvalidResponse, 0},
+		"truncated JSON":     {false, fmt.Sprintf(head, "application/json", "Content-Length: 50\r\n", `{}`), Lost, 0},
 		"stream without end": {true, fmt.Sprintf(head, "text/event-stream", "", "data: a\n\n"), Truncated, 1},
 		"half an event":      {true, fmt.Sprintf(head, "text/event-stream", "", "data: a\n\ndata: b"), Truncated, 1},
 		"comments and ids":   {true, fmt.Sprintf(head, "text/event-stream", "", ": hello\n\nid: 7\nevent: x\ndata:a\n\n: still here\n\ndata: b\r\n\r\ndata: [DONE]\n\n"), Done, 2},
-		"event of no data":   {true, fmt.Sprintf(head, "text/event-stream", "", "hello\n\n"), InvalidResponse, 0},
-		"full":               {true, "HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", Busy, 0},
-		"no HTTP":            {true, "SSH-2.0-OpenSSH\r\n", Lost, 0},
+		"not a field":        {true, fmt.Sprintf(head, "text/event-stream", "", "hello\n\n"), InvalidResponse, 0},
+		"busy":               {true, "HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", Busy, 0},
+		"not HTTP":           {true, "SSH-2.0-OpenSSH\r\n", Lost, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -206,8 +205,8 @@
 	}
 }
 
-// Paths reach the service as the caller wrote them, and never another host.
-func TestPathsArePassedAsTheyAre(t *testing.T) {
+// A path reaches the service as the caller wrote it, and never names another host.
+func TestPathsAreForwardedUnchanged(t *testing.T) {
 	is := is.New(t)
 	var seen []string
 	u := listenRaw(t, func(u *rawUpstream, _ int, c net.Conn, r *bufio.Reader) {
@@ -233,12 +232,12 @@
 	}
 }
 
-func TestResumeTokens(t *testing.T) {
+func TestResumeTokensAreDecodedAndChecked(t *testing.T) {
 	is := is.New(t)
 	token := ResumeToken{Upstream: "10.0.0.9:9002", StreamID: "abc-1", Events: 7}
-	back, err := ParseResumeToken(token.String())
+	decoded, err := ParseResumeToken(token.String())
 	is.NoErr(err)
-	is.Equal(back, token)
+	is.Equal(decoded, token)
 	for _, bad := range []ResumeToken{
 		{Upstream: "example.org:80", StreamID: "a"}, {Upstream: "10.0.0.9:1", StreamID: "../x"},
 		{Upstream: "10.0.0.9:1", StreamID: "a", Events: -1}, {},
@@ -255,7 +254,7 @@
 	f.Add(ResumeToken{Upstream: "10.0.0.9:9002", StreamID: "abc", Events: 7}.String())
 	f.Fuzz(func(t *testing.T, text string) {
 		if token, err := ParseResumeToken(text); err == nil && !isValidStreamID(token.StreamID) {
-			t.Error("a token with an ID that isn't plain")
+			t.Error("accepted a token with an invalid stream ID")
 		}
 	})
 }
--- a/internal/upstream/relay.go
+++ b/internal/upstream/relay.go
@@ -28,13 +28,13 @@
 	maxEventBytes     = 1 << 20
 )
 
-// passedBack are the fields of a service's answer that reach the caller.
+// forwardedHeaders are the header fields of a service's response that are forwarded to the caller.
 var forwardedHeaders = []string{"Cache-Control", "Content-Language", "Etag", "Last-Modified", "Location", "Retry-After"}
 
-// relay passes one answer on.
+// relay writes one response to the buffer.
 func relay(ctx context.Context, call Call, response *http.Response, b *answer.Buffer) Result {
 	if isBusy(call, response) {
-		return Result{Status: Busy, RetryAfter: retryAfter(response), Err: fmt.Errorf("upstream answered %s", response.Status)}
+		return Result{Status: Busy, RetryAfter: retryAfter(response), Err: fmt.Errorf("upstream responded %s", response.Status)}
 	}
 	head := answer.Head{
 		Status:      response.StatusCode,
@@ -57,7 +57,7 @@
 	case media == contentTypeJSON:
 		return relayJSON(ctx, response.Body, b, head)
 	default:
-		return Result{Status: InvalidResponse, Err: fmt.Errorf("a model engine answered with content type %q", head.ContentType)}
+		return Result{Status: InvalidResponse, Err: fmt.Errorf("engine responded with content type %q", head.ContentType)}
 	}
 }
 
@@ -104,42 +104,42 @@
 	}
 }
 
-// usage is what is read of a whole answer.
+// usage is the part of a JSON response that is decoded.
 type usage struct {
 	Usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-// relayWhole passes an answer on only when all of it has come and it is JSON.
+// relayJSON writes a response to the buffer once it is complete and valid JSON.
 func relayJSON(ctx context.Context, body io.Reader, b *answer.Buffer, head answer.Head) Result {
 	content, err := io.ReadAll(io.LimitReader(body, maxResponseBytes+1))
 	if err != nil {
 		return Result{Status: statusOfError(ctx, true, Lost), Err: err}
 	}
 	if len(content) > maxResponseBytes {
-		return Result{Status: InvalidResponse, Err: fmt.Errorf("the answer is larger than %d bytes", maxResponseBytes)}
+		return Result{Status: InvalidResponse, Err: fmt.Errorf("response is larger than %d bytes", maxResponseBytes)}
 	}
 	if !jsontext.Value(content).IsValid() {
-		return Result{Status: InvalidResponse, Err: errors.New("the answer is no valid JSON")}
+		return Result{Status: InvalidResponse, Err: errors.New("response is not valid JSON")}
 	}
 	b.Start(head)
 	if err := b.Write(ctx, content); err != nil {
 		return Result{Status: statusOfError(ctx, true, Truncated), Err: err}
 	}
 	var u usage
-	_ = json.Unmarshal(content, &u) // an answer without usage counts no tokens
+	_ = json.Unmarshal(content, &u) // a response without usage counts as 0 tokens
 	return Result{Status: Done, OutputTokens: u.Usage.CompletionTokens}
 }
 
-// eventRelay passes a stream of server-sent events on, and gives each an ID with
-// which any instance can resume it.
+// eventRelay relays a stream of server-sent events. It gives each event an ID with which any
+// instance can resume the stream.
 type eventRelay struct {
 	call   Call
 	buffer *answer.Buffer
 	head   answer.Head
 	stream string
-	events int // events relayed, those before a resume included
+	events int // events relayed, including those before a resume
 	tokens int
 	first  bool
 }
@@ -159,10 +159,10 @@
 		}
 		event, hasData, ok := cleanEvent(event)
 		if !ok {
-			return e.result(InvalidResponse, errors.New("a line of the stream is none of an event"))
+			return e.result(InvalidResponse, errors.New("stream contains a line that isn't a field of an event"))
 		}
 		if !hasData {
-			continue // a comment that keeps the connection alive
+			continue // a keep-alive comment
 		}
 		done := bytes.Contains(event, []byte(doneEvent))
 		if !e.first {
@@ -200,16 +200,16 @@
 	return Result{Status: s, Err: err, OutputTokens: e.tokens, StreamID: e.stream, Events: e.events}
 }
 
-// fields that an event's lines may begin with, ":" being a comment. Those named id
-// are left out: the daemon gives events its own.
+// Fields with which a line of an event may begin; ":" is a comment. Lines with the field id are
+// dropped, since eventRelay sets its own.
 var (
 	dataField   = []byte("data:")
 	idField     = []byte("id:")
 	otherFields = [][]byte{[]byte(":"), []byte("event:"), []byte("retry:")}
 )
 
-// cleanEvent checks the lines of an event and leaves out its id. HasData is false
-// for one that holds comments alone.
+// cleanEvent checks the lines of an event and drops its id. HasData is false for an event that
+// contains only comments.
 func cleanEvent(event []byte) (clean []byte, hasData, ok bool) {
 	for line := range bytes.Lines(event) {
 		switch {
@@ -230,7 +230,7 @@
 	return slices.ContainsFunc(prefixes, func(p []byte) bool { return bytes.HasPrefix(line, p) })
 }
 
-// unexpectedEnd names an end without the last event as what it is.
+// unexpectedEnd converts io.EOF before the last event to io.ErrUnexpectedEOF.
 func unexpectedEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/upstream/resume.go
+++ b/internal/upstream/resume.go
@@ -9,28 +9,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrBadResumeToken: a Last-Event-ID that no instance made.
-var ErrBadResumeToken = errors.New("the Last-Event-ID is none of ours; send the id of the last event received, or leave it out to start anew")
+// ErrBadResumeToken: the Last-Event-ID was not issued by an instance.
+var ErrBadResumeToken = errors.New("Last-Event-ID was not issued by this service; send the id of the last event received, or omit it to start a new request")
 
-// ResumeToken names a place in a stream at its engine. It is the id of the
-// server-sent events, so that any instance can resume the stream.
+// ResumeToken is a position in a stream at its engine. It is sent as the ID of server-sent events,
+// so that any instance can resume the stream.
 type ResumeToken struct {
 	Upstream string `cbor:"1,keyasint"`
 	StreamID string `cbor:"2,keyasint"`
 	Events   int    `cbor:"3,keyasint"`
 }
 
-// String encodes the token for an event's id field.
+// String returns the token encoded for the id field of an event.
 func (t ResumeToken) String() string {
 	b, err := cbor.Marshal(t)
 	if err != nil {
-		panic("upstream: a resume token always encodes: " + err.Error())
+		panic("upstream: a resume token must always encode: " + err.Error())
 	}
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// ParseResumeToken decodes a token. The caller must check that the upstream is
-// one it may call.
+// ParseResumeToken decodes a token. The caller must check that the upstream is one it may call.
 func ParseResumeToken(text string) (ResumeToken, error) {
 	var t ResumeToken
 	b, err := base64.RawURLEncoding.DecodeString(text)
@@ -43,8 +42,8 @@
 	return t, nil
 }
 
-// EventToken returns the token in the id field of an event that an instance
-// relayed.
+// EventToken returns the token in the id field of an event that an instance relayed, and whether it
+// has one.
 func EventToken(event []byte) (ResumeToken, bool) {
 	rest, ok := bytes.CutPrefix(event, []byte("id: "))
 	if !ok {
