--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -22,26 +22,26 @@
 }
 
 // resume continues a truncated stream where it stopped, without a second prefill.
-func (a *attempts) resume(ctx context.Context, address string, cut upstream.Result) answer.End {
-	for a.mayResume(cut) {
+func (a *attempts) resume(ctx context.Context, address string, truncated upstream.Result) answer.End {
+	for a.mayResume(truncated) {
 		a.resumes++
 		a.generation = a.dispatcher.o.Gate.Detector.Generation()
-		a.dispatcher.recordRetry(a.request, api.RetryResume, cut.Err)
+		a.dispatcher.recordRetry(a.request, api.RetryResume, truncated.Err)
 		if !wait.For(ctx, time.Duration(a.resumes-1)*resumeDelay) {
 			break
 		}
-		result := a.dispatcher.o.Client.Do(ctx, a.resumeCall(address, cut.StreamID, cut.Events), a.buffer)
+		result := a.dispatcher.o.Client.Do(ctx, a.resumeCall(address, truncated.StreamID, truncated.Events), a.buffer)
 		a.outputTokens += result.OutputTokens
 		if result.Status == upstream.Done {
 			return answer.End{}
 		}
 		if result.Status != upstream.Truncated {
-			result.StreamID, result.Events = cut.StreamID, cut.Events
+			result.StreamID, result.Events = truncated.StreamID, truncated.Events
 		}
-		cut = result
+		truncated = result
 	}
-	cut.Status = upstream.Truncated
-	return a.endOf(cut)
+	truncated.Status = upstream.Truncated
+	return a.endOf(truncated)
 }
 
 // resumeForCaller resumes a stream that the caller lost, possibly at another instance. The engine
--- a/internal/gateway/callerchosen.go
+++ b/internal/gateway/caller_chosen.go
@@ -12,14 +12,14 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// joinTimeout bounds the search among the peers for an earlier attempt.
+// joinTimeout bounds the search for an earlier attempt at the peers.
 const joinTimeout = 2 * time.Second
 
-// handleCallerChosen serves a request under an ID that the caller made up.
+// handleCallerChosen serves a request under an ID that the caller chose.
 func (g *Gateway) handleCallerChosen(ctx context.Context, s *config.Snapshot, r *request.Request) *answer.Buffer {
 	org, ok := s.Organisation(r.Organisation)
 	if !ok || org.CallerChosenIDs != api.CallerIDsFirstAttempt {
-		return g.refuseWithKey(r, "organisation "+r.Organisation+" may not use IDs of its own; repeat the request with the key given")
+		return g.refuseWithKey(r, "organisation "+r.Organisation+" may not use caller-chosen IDs; retry the request with the issued key")
 	}
 	if r.Attempt == request.AttemptFirst {
 		return g.serveFirstAttempt(s, r)
@@ -30,8 +30,8 @@
 	return g.joinAtPeers(ctx, r)
 }
 
-// serveFirstAttempt dispatches here. The caller's mark is the proof that no other
-// instance has dispatched the ID.
+// serveFirstAttempt dispatches the request here. That the caller marked the attempt as the first
+// one proves that no other instance has dispatched the ID.
 func (g *Gateway) serveFirstAttempt(s *config.Snapshot, r *request.Request) *answer.Buffer {
 	u := g.newUse(r)
 	if b, found, problem := g.o.Registry.Join(u); problem != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// joinHere returns the answer of an earlier attempt, or a Problem.
+// joinLocal returns the response of an earlier attempt at this instance, or a Problem.
 func (g *Gateway) joinLocal(r *request.Request) *answer.Buffer {
 	b, found, problem := g.o.Registry.Join(g.newUse(r))
 	if problem != nil {
@@ -71,7 +71,7 @@
 }
 
 func notFirstAttempt() *api.Problem {
-	return api.LeaveUnknown(api.ReasonNotFirstAttempt, "no instance within reach holds an earlier attempt of this ID, and only the first may run; mark the first attempt with %s: 1, or check what it did and use a new ID", api.HeaderAttempt)
+	return api.LeaveUnknown(api.ReasonNotFirstAttempt, "no reachable instance holds an earlier attempt of this ID, and only the first attempt may run; mark the first attempt with %s: 1, or check what it did and use a new ID", api.HeaderAttempt)
 }
 
 func isNotFirstAttempt(b *answer.Buffer) bool {
@@ -79,8 +79,8 @@
 	return end != nil && end.Problem != nil && end.Problem.Reason == api.ReasonNotFirstAttempt
 }
 
-// joinElsewhere asks every peer within reach for an earlier attempt. The first
-// that holds one gives the answer.
+// joinAtPeers requests the response of an earlier attempt from all reachable peers, and returns the
+// response of the first peer that holds one. It blocks for at most joinTimeout.
 func (g *Gateway) joinAtPeers(ctx context.Context, r *request.Request) *answer.Buffer {
 	joinRequest := *r
 	joinRequest.JoinOnly = true
@@ -111,7 +111,8 @@
 	}
 }
 
-// askPeer hands a buffer over once the peer shows that it holds the ID.
+// joinAtPeer requests the response of an earlier attempt from one peer. It sends a buffer to found
+// once the peer shows that it holds the ID.
 func (g *Gateway) joinAtPeer(ctx context.Context, address string, joinRequest *request.Request, found chan<- *answer.Buffer) {
 	b := answer.New(true)
 	done := make(chan error, 1)
@@ -132,6 +133,6 @@
 		return
 	}
 	if err := <-done; err != nil {
-		b.Finish(answer.End{Problem: api.LeaveUnknown(api.ReasonIssuerUnreachable, "the link to the instance that runs the request broke (%v); repeat it with the same ID", err).WithRetryAfter(time.Second)})
+		b.Finish(answer.End{Problem: api.LeaveUnknown(api.ReasonIssuerUnreachable, "the link to the instance that runs the request failed (%v); retry with the same ID", err).WithRetryAfter(time.Second)})
 	}
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// forwardPatience is how long a request waits for the link to its issuer.
+	// forwardMaxWait is how long a request waits for the link to the issuer of its key.
 	forwardMaxWait = 3 * time.Second
-	// forwardPause is the time between two tries.
+	// forwardRetryInterval is the time between two attempts to forward a request.
 	forwardRetryInterval = 50 * time.Millisecond
 )
 
-// forward sends the request to the issuer of its key. It is sent again when the
-// link breaks, which is safe: the issuer knows the key and joins the repeat, whose
-// answer is gone on with where it broke.
+// forward sends the request to the issuer of its key. It sends the request again when the link
+// fails. This is safe: the issuer recognises the key and joins the retry, whose response is resumed
+// where it stopped.
 func (g *Gateway) forward(ctx context.Context, claims idempotency.Claims, r *request.Request) *answer.Buffer {
 	b := answer.New(false)
 	go func() {
 		ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 		defer cancel()
-		problem := g.forwardUntilAnswered(ctx, claims, r, b)
+		problem := g.forwardUntilComplete(ctx, claims, r, b)
 		if problem != nil {
 			g.refuse(r, problem)
 			b.Finish(answer.End{Problem: problem})
@@ -35,8 +35,10 @@
 	return b
 }
 
-func (g *Gateway) forwardUntilAnswered(ctx context.Context, claims idempotency.Claims, r *request.Request, b *answer.Buffer) *api.Problem {
-	var linkLostSince time.Time // since when there was no link
+// forwardUntilComplete blocks until the response is complete, ctx is done, or there has been no
+// link for forwardMaxWait. It returns nil if the buffer was finished.
+func (g *Gateway) forwardUntilComplete(ctx context.Context, claims idempotency.Claims, r *request.Request, b *answer.Buffer) *api.Problem {
+	var linkLostAt time.Time // start of the time without a link
 	everSent := false
 	for {
 		if known := g.peers.Incarnation(claims.Issuer); known != 0 && known != uint64(claims.Incarnation) {
@@ -47,11 +49,11 @@
 			return nil
 		}
 		everSent = everSent || sent
-		if sent || linkLostSince.IsZero() {
-			linkLostSince = time.Now()
+		if sent || linkLostAt.IsZero() {
+			linkLostAt = time.Now()
 		}
-		if ctx.Err() != nil || time.Since(linkLostSince) > forwardMaxWait {
-			p := api.LeaveUnknown(api.ReasonIssuerUnreachable, "the instance that issued the key can't be reached (%v); repeat the request with the same key later, or check what it did", err).WithRetryAfter(time.Second)
+		if ctx.Err() != nil || time.Since(linkLostAt) > forwardMaxWait {
+			p := api.LeaveUnknown(api.ReasonIssuerUnreachable, "the instance that issued the key can't be reached (%v); retry with the same key later, or check what the request did", err).WithRetryAfter(time.Second)
 			return withAttemptOutcome(p, everSent)
 		}
 		if sent {
@@ -61,7 +63,7 @@
 	}
 }
 
-// forAttempt says that this attempt was not run where nothing was sent.
+// withAttemptOutcome adds to p that this attempt was not run, if the request wasn't sent.
 func withAttemptOutcome(p *api.Problem, sent bool) *api.Problem {
 	if sent {
 		return p
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,11 @@
-// Package gateway decides which instance serves a request, so that one that must
-// run at most once is only ever dispatched by the issuer of its key.
+// Package gateway decides which instance serves a request, so that a request that must run at most
+// once is dispatched only by the issuer of its key.
 //
-// The rules stand in docs/design/at-most-once.md. In short: an issued key leads
-// to its issuer and nowhere else; a caller-chosen ID dispatches only on the
-// attempt that the caller marks as the first; any other attempt joins an earlier
-// one where an instance within reach holds it, and is never dispatched.
+// The rules are described in docs/design/at-most-once.md. In short:
+//   - A request under an issued key is served by the issuer of the key and by no other instance.
+//   - A request under a caller-chosen ID is dispatched only on the attempt that the caller marks as
+//     the first. Any other attempt joins an earlier one if a reachable instance holds it, and is
+//     never dispatched.
 package gateway
 
 import (
@@ -27,19 +28,19 @@
 // Dispatcher serves a request at this instance and finishes the buffer.
 type Dispatcher interface {
 	Serve(ctx context.Context, s *config.Snapshot, r *request.Request, b *answer.Buffer)
-	// Displace gives up the least important waiting request that is of a lower
-	// tier than rank, and returns false when there is none.
+	// Displace sheds the least important waiting request that is of a lower tier than rank. It
+	// returns false if there is none.
 	Displace(rank int) bool
 }
 
-// Peers forwards to other instances.
+// Peers forwards requests to other instances.
 type Peers interface {
 	Forward(ctx context.Context, address string, r *request.Request, b *answer.Buffer) (sent bool, err error)
 	Incarnation(address string) uint64
 	Peers() []peer.Status
 }
 
-// Options of a Gateway.
+// Options configures a Gateway.
 type Options struct {
 	Issuer     *idempotency.Issuer
 	Registry   *idempotency.Registry
@@ -52,7 +53,7 @@
 	Log        *log.Logger
 }
 
-// Gateway routes requests. Safe for concurrent use.
+// Gateway decides which instance serves a request. It is safe for concurrent use.
 type Gateway struct {
 	o        Options
 	peers    Peers
@@ -65,23 +66,23 @@
 // SetPeers sets the links to other instances.
 func (g *Gateway) SetPeers(p Peers) { g.peers = p }
 
-// Drain makes the gateway refuse what it hasn't begun.
+// Drain makes the gateway refuse requests that it hasn't dispatched.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain was called.
 func (g *Gateway) Draining() bool { return g.draining.Load() }
 
-// Snapshot returns the configuration in force, or nil before the first. After a
-// pause it is read anew first.
+// Snapshot returns the current configuration, or nil before the first one is accepted. After a
+// pause it blocks until the configuration has been refreshed or the refresh timed out.
 func (g *Gateway) Snapshot(ctx context.Context) *config.Snapshot {
 	g.o.Gate.EnsureFresh(ctx)
 	return g.o.Holder.Current()
 }
 
-// Displace makes room for a request of a tier by giving up one of a lower tier.
+// Displace sheds a waiting request of a lower tier than rank. It returns false if there is none.
 func (g *Gateway) Displace(rank int) bool { return g.o.Dispatcher.Displace(rank) }
 
-// Issue returns a key for the organisation.
+// Issue returns an idempotency key for the organisation, bound to requestID unless that is empty.
 func (g *Gateway) Issue(organisation, requestID string) (string, *api.Problem) {
 	if g.Draining() {
 		return "", refuseDraining()
@@ -93,11 +94,11 @@
 }
 
 func refuseDraining() *api.Problem {
-	return api.Refuse(api.ReasonDraining, "this instance is shutting down; send the request again, another instance will take it").WithRetryAfter(time.Second)
+	return api.Refuse(api.ReasonDraining, "this instance is shutting down; send the request again, another instance will serve it").WithRetryAfter(time.Second)
 }
 
-// Handle serves a caller's request. The buffer ends with the answer or a
-// Problem. Ctx ends when the caller goes away.
+// Handle serves a request of a caller. The buffer ends with the response or a Problem. Ctx must be
+// done when the caller disconnects.
 func (g *Gateway) Handle(ctx context.Context, s *config.Snapshot, r *request.Request) *answer.Buffer {
 	if !r.NonIdempotent {
 		return g.serveIdempotent(ctx, s, r)
@@ -105,11 +106,11 @@
 	claims, err := idempotency.Parse(r.Key)
 	switch {
 	case r.Key == "":
-		return g.refuseWithKey(r, "this request runs at most once and needs an idempotency key; repeat it with the key given")
+		return g.refuseWithKey(r, "this request runs at most once and needs an idempotency key; retry it with the issued key")
 	case err != nil:
 		return g.handleCallerChosen(ctx, s, r)
 	case claims.Organisation != r.Organisation:
-		return g.refuse(r, api.Refuse(api.ReasonKeyMismatch, "the key was issued to another organisation; ask for one of your own"))
+		return g.refuse(r, api.Refuse(api.ReasonKeyMismatch, "the key was issued to another organisation; request a key of your own"))
 	case g.o.Issuer.Owns(claims):
 		return g.serveIssued(s, r)
 	case claims.Issuer == g.o.Issuer.Address():
@@ -119,7 +120,7 @@
 	}
 }
 
-// ServePeer serves a request that a peer forwarded. It is never forwarded again.
+// ServePeer serves a request that a peer forwarded. It never forwards the request again.
 func (g *Gateway) ServePeer(ctx context.Context, r *request.Request) *answer.Buffer {
 	r.SetTimes(time.Now())
 	if r.JoinOnly {
@@ -141,22 +142,22 @@
 }
 
 func refuseUnconfigured() *api.Problem {
-	return api.Refuse(api.ReasonNoConfiguration, "this instance has no accepted configuration yet; come back shortly").WithRetryAfter(time.Second)
+	return api.Refuse(api.ReasonNoConfiguration, "this instance has no accepted configuration yet; retry after the given time").WithRetryAfter(time.Second)
 }
 
 func issuerGone() *api.Problem {
-	return api.LeaveUnknown(api.ReasonIssuerGone, "the instance that issued the key has ended; the request won't run from now on, but may have run: check before you send it under a new key")
+	return api.LeaveUnknown(api.ReasonIssuerGone, "the instance that issued the key has terminated; the request won't run any more, but may have run: check before you send it under a new key")
 }
 
-// refuse counts, logs and words a refusal that needs no dispatch.
+// refuse counts and logs a refusal, and returns a buffer that ends with it.
 func (g *Gateway) refuse(r *request.Request, p *api.Problem) *answer.Buffer {
 	g.o.Metrics.Refused(p.Reason)
 	g.o.Log.Info().Str("event", "request_refused").Str("request", r.ID).Str("organisation", r.Organisation).
-		Str("outcome", string(p.Outcome)).Str("reason", string(p.Reason)).Msg("")
+		Str("outcome", string(p.Outcome)).Str("reason", string(p.Reason)).Msg("request refused")
 	return answer.Refused(p)
 }
 
-// requireKey refuses with 428 and an issued key to repeat the request with.
+// refuseWithKey refuses a request with status 428 and an issued key with which to retry it.
 func (g *Gateway) refuseWithKey(r *request.Request, detail string) *answer.Buffer {
 	key, problem := g.Issue(r.Organisation, r.Key)
 	if problem != nil {
@@ -176,14 +177,14 @@
 	return b
 }
 
-// serveIssued serves a request whose key this incarnation issued.
+// serveIssued serves a request whose key was issued by this incarnation.
 func (g *Gateway) serveIssued(s *config.Snapshot, r *request.Request) *answer.Buffer {
 	claims, err := g.o.Issuer.Verify(r.Key)
 	if err != nil {
-		return g.refuse(r, api.Refuse(api.ReasonKeyInvalid, "the idempotency key is not valid: %v", err))
+		return g.refuse(r, api.Refuse(api.ReasonKeyInvalid, "invalid idempotency key: %v", err))
 	}
 	if claims.Organisation != r.Organisation {
-		return g.refuse(r, api.Refuse(api.ReasonKeyMismatch, "the key was issued to another organisation; ask for one of your own"))
+		return g.refuse(r, api.Refuse(api.ReasonKeyMismatch, "the key was issued to another organisation; request a key of your own"))
 	}
 	return g.dispatchOrJoin(s, r, idempotency.Use{
 		Key:          r.Key,
@@ -193,8 +194,8 @@
 	})
 }
 
-// begin dispatches the first use of a key and joins every other. A use goes on
-// when its caller goes away, so that a repeat finds its answer.
+// dispatchOrJoin dispatches the first use of a key, and joins every other use to it. A dispatched
+// request continues when its caller disconnects, so that a retry finds the response.
 func (g *Gateway) dispatchOrJoin(s *config.Snapshot, r *request.Request, u idempotency.Use) *answer.Buffer {
 	b, first, problem := g.o.Registry.Begin(u)
 	if problem != nil {
@@ -207,7 +208,7 @@
 	if g.Draining() {
 		p := refuseDraining()
 		g.o.Metrics.Refused(p.Reason)
-		b.Finish(answer.End{Problem: p}) // voids the key, so that not-run stays true
+		b.Finish(answer.End{Problem: p}) // the key stays refused, so that not-run remains true
 		return b
 	}
 	go g.o.Dispatcher.Serve(context.Background(), s, r, b)
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -172,10 +172,10 @@
 func TestEngineResponses(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nConnection: close\r\n%s\r\n%s"
 	for name, c := range map[string]struct {
-		stream bool
-		answer string
-		status Status
-		output int
+		stream   bool
+		response string
+		status   Status
+		output   int
 	}{
 		"whole":              {false, fmt.Sprintf(head, "application/json", "", `{"usage":{"completion_tokens":3}}`), Done, 3},
 		"stream":             {true, fmt.Sprintf(head, "text/event-stream", "", "data: a\n\ndata: b\n\ndata: [DONE]\n\n"), Done, 2},
@@ -193,7 +193,7 @@
 			is := is.New(t)
 			u := listenRaw(t, func(u *rawUpstream, _ int, conn net.Conn, r *bufio.Reader) {
 				if u.readRequest(r) {
-					_, _ = io.WriteString(conn, c.answer)
+					_, _ = io.WriteString(conn, c.response)
 				}
 			})
 			client := NewClient(time.Second)
