--- a/internal/idempotency/clock.go
+++ b/internal/idempotency/clock.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Clock counts the time of one incarnation on the monotonic clock.
-// Safe for concurrent use.
+// Clock measures time since the start of an incarnation on the monotonic clock. It is safe for
+// concurrent use.
 type Clock struct {
 	start time.Time
 }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() *Clock { return &Clock{start: time.Now()} }
 
 // Elapsed returns the time since the start.
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -15,29 +15,29 @@
 
 var limits = Limits{Lifetime: time.Minute, MaxEntries: 3, MaxAnswerBytes: 10}
 
-func TestKeysAreVerified(t *testing.T) {
+func TestOnlyTheIssuingIncarnationVerifiesAKey(t *testing.T) {
 	is := is.New(t)
 	clock := NewClock()
-	mine := NewIssuer("10.0.0.1:7003", NewIncarnation(), clock)
-	other := NewIssuer("10.0.0.1:7003", mine.Incarnation(), clock)
-	key := mine.Issue("gebremedhin", "booking-7", time.Minute)
-	c, err := mine.Verify(key)
+	issuer := NewIssuer("10.0.0.1:7003", NewIncarnation(), clock)
+	otherIssuer := NewIssuer("10.0.0.1:7003", issuer.Incarnation(), clock)
+	key := issuer.Issue("gebremedhin", "booking-7", time.Minute)
+	c, err := issuer.Verify(key)
 	is.NoErr(err)
 	is.Equal(c.Organisation, "gebremedhin")
 	is.Equal(c.RequestID, "booking-7")
-	is.True(mine.Owns(c))
-	_, err = other.Verify(key) // another secret, as after a restart
+	is.True(issuer.Owns(c))
+	_, err = otherIssuer.Verify(key) // another secret, as after a restart
 	is.Equal(err, ErrForged)
 	body, mac, _ := strings.Cut(key, ".")
-	_, err = mine.Verify(body + "x." + mac)
+	_, err = issuer.Verify(body + "x." + mac)
 	is.True(err != nil)
 	_, err = Parse("booking-7")
 	is.Equal(err, ErrNotIssued)
-	is.True(key != mine.Issue("gebremedhin", "booking-7", time.Minute)) // each key is its own
+	is.True(key != issuer.Issue("gebremedhin", "booking-7", time.Minute)) // each key is unique
 }
 
-// uses is a table of attempts under keys, in virtual time.
-func TestRegister(t *testing.T) {
+// Attempts under keys, in virtual time.
+func TestKeyIsDispatchedOnceAndRetriesJoin(t *testing.T) {
 	type step struct {
 		wait    time.Duration
 		key     string
@@ -45,21 +45,21 @@
 		sum     byte
 		first   bool
 		reason  api.Reason
-		finish  string       // body written to the answer
-		problem *api.Problem // end of the answer, after finish
+		finish  string       // body written to the response
+		problem *api.Problem // end of the response, after finish
 	}
 	refused := api.Refuse(api.ReasonQueueFull, "full")
 	for name, steps := range map[string][]step{
-		"a repeat joins":                       {{key: "a", first: true}, {key: "a"}},
-		"a repeat after the end gets it":       {{key: "a", first: true, finish: "1234"}, {key: "a"}},
-		"another body is refused":              {{key: "a", first: true}, {key: "a", sum: 1, reason: api.ReasonKeyMismatch}},
-		"another organisation is refused":      {{key: "a", first: true, finish: "1234"}, {key: "a", org: "x", reason: api.ReasonKeyMismatch}},
-		"a refused key stays refused":          {{key: "a", first: true, problem: refused}, {key: "a"}},
-		"an expired key never runs":            {{wait: time.Minute, key: "a", reason: api.ReasonKeyExpired}},
-		"an expired use is forgotten":          {{key: "a", first: true, finish: "1"}, {wait: time.Minute, key: "a", reason: api.ReasonKeyExpired}},
-		"a running use outlives its key":       {{key: "a", first: true}, {wait: 2 * time.Minute, key: "a"}},
-		"the oldest answer is dropped":         {{key: "a", first: true, finish: "123456"}, {key: "b", first: true, finish: "123456"}, {key: "a", reason: api.ReasonAnswerEvicted}, {key: "b"}},
-		"an answer over the bound is not held": {{key: "a", first: true, finish: "12345678901"}, {key: "a", reason: api.ReasonAnswerEvicted}},
+		"a retry joins": {{key: "a", first: true}, {key: "a"}},
+		"a retry after the end gets the response":   {{key: "a", first: true, finish: "1234"}, {key: "a"}},
+		"another body is refused":                   {{key: "a", first: true}, {key: "a", sum: 1, reason: api.ReasonKeyMismatch}},
+		"another organisation is refused":           {{key: "a", first: true, finish: "1234"}, {key: "a", org: "x", reason: api.ReasonKeyMismatch}},
+		"a refused key stays refused":               {{key: "a", first: true, problem: refused}, {key: "a"}},
+		"an expired key never runs":                 {{wait: time.Minute, key: "a", reason: api.ReasonKeyExpired}},
+		"an expired use is removed":                 {{key: "a", first: true, finish: "1"}, {wait: time.Minute, key: "a", reason: api.ReasonKeyExpired}},
+		"a running use outlives its key":            {{key: "a", first: true}, {wait: 2 * time.Minute, key: "a"}},
+		"the oldest response is evicted":            {{key: "a", first: true, finish: "123456"}, {key: "b", first: true, finish: "123456"}, {key: "a", reason: api.ReasonAnswerEvicted}, {key: "b"}},
+		"a response over the limit is not retained": {{key: "a", first: true, finish: "12345678901"}, {key: "a", reason: api.ReasonAnswerEvicted}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -96,14 +96,14 @@
 		}
 		p := r.Reserve("another")
 		is.Equal(p.Reason, api.ReasonKeyLimit)
-		is.Equal(p.RetryAfterSeconds, 57) // when the first one expires
+		is.Equal(p.RetryAfterSeconds, 57) // until the first key expires
 		<-time.After(57 * time.Second)    // virtual time
 		is.True(r.Reserve("another") == nil)
 		is.Equal(r.Stats().Reserved, limits.MaxEntries)
 	})
 }
 
-func TestOneOrganisationLeavesKeysToOthers(t *testing.T) {
+func TestOneOrganisationCannotReserveAllKeys(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry(Limits{Lifetime: time.Minute, MaxEntries: 10}, NewClock())
 	for range 5 {
@@ -119,7 +119,7 @@
 	f.Add("ttk1.AA.AA")
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, err := issuer.Verify(text); err == nil && !strings.HasPrefix(text, keyPrefix) {
-			t.Error("verified something that is no key")
+			t.Error("verified a text that isn't a key")
 		}
 	})
 }
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -1,14 +1,12 @@
-// Package idempotency makes a non-idempotent request run at most once, without
-// shared state.
+// Package idempotency makes a non-idempotent request run at most once, without shared state.
 //
-// An Issuer signs keys that name it and its incarnation, under a secret that
-// only this process's memory holds. A request under an issued key is dispatched
-// by its issuer alone; every other instance forwards it there. A Register
-// remembers each key in use until it expires: repeats join the first use or get
-// its answer, and a key whose request was refused stays refused.
+// An Issuer signs keys that name it and its incarnation, with a secret that only exists in the
+// memory of this process. A request under an issued key is dispatched only by its issuer; all other
+// instances forward it there. A Registry remembers each key in use until it expires: retries join
+// the first use or get its response, and a key whose request was refused stays refused.
 //
-// The argument, the ways weighed and the table of what is served in each
-// situation stand in docs/design/at-most-once.md.
+// The proof, the alternatives and a table of what is served in each situation are in
+// docs/design/at-most-once.md.
 package idempotency
 
 import (
@@ -29,44 +27,44 @@
 	secretBytes = 32
 	macBytes    = 16
 	nonceBytes  = 12
-	// MaxKeyLength bounds an Idempotency-Key of either sort, in characters.
+	// MaxKeyLength bounds an issued key or a caller-chosen ID, in bytes.
 	MaxKeyLength = 512
 )
 
-// ErrNotIssued: the text has not the form of an issued key.
-var ErrNotIssued = errors.New("no issued key")
+// ErrNotIssued: the text doesn't have the form of an issued key.
+var ErrNotIssued = errors.New("not an issued key")
 
-// ErrForged: the key names this incarnation, but its signature is not ours.
-var ErrForged = errors.New("signature does not fit; use a key exactly as it was issued")
+// ErrForged: the key names this incarnation, but its signature is invalid.
+var ErrForged = errors.New("signature is invalid; use the key exactly as it was issued")
 
-// Incarnation names one life of a process. It is drawn at random at start.
+// Incarnation identifies one run of a process. It is generated at random at the start.
 type Incarnation uint64
 
-// NewIncarnation draws an incarnation.
+// NewIncarnation returns a random incarnation, which is never 0.
 func NewIncarnation() Incarnation {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails.
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
 	return Incarnation(binary.BigEndian.Uint64(b[:]) | 1)
 }
 
-// Claims is what an issued key says.
+// Claims are the contents of an issued key.
 type Claims struct {
 	// Issuer is the peer address of the issuing instance.
 	Issuer string `cbor:"1,keyasint"`
 	// Incarnation of the issuing process.
 	Incarnation Incarnation `cbor:"2,keyasint"`
-	// Organisation it was issued to.
+	// Organisation is the organisation to which the key was issued.
 	Organisation string `cbor:"3,keyasint"`
-	// RequestID is the caller's own ID that it is bound to; may be empty.
+	// RequestID is the caller's own ID to which the key is bound; may be empty.
 	RequestID string `cbor:"4,keyasint,omitempty"`
-	// Expiry is the end of its life, counted on the issuer's monotonic clock
-	// from the start of its incarnation, so that no wall clock matters.
+	// Expiry is the time at which the key expires, as the time since the start of the issuer's
+	// incarnation on its monotonic clock. It doesn't depend on any wall clock.
 	Expiry time.Duration `cbor:"5,keyasint"`
-	// Nonce sets it apart.
+	// Nonce makes each key unique.
 	Nonce []byte `cbor:"6,keyasint"`
 }
 
-// Parse reads the claims of an issued key without trusting them.
+// Parse returns the claims of an issued key without verifying them.
 func Parse(key string) (Claims, error) {
 	claims, _, _, err := split(key)
 	return claims, err
@@ -92,8 +90,7 @@
 	return c, payload, mac, nil
 }
 
-// Issuer issues the keys of one incarnation and verifies them.
-// Safe for concurrent use.
+// Issuer issues the keys of one incarnation and verifies them. It is safe for concurrent use.
 type Issuer struct {
 	address     string
 	incarnation Incarnation
@@ -101,15 +98,15 @@
 	clock       *Clock
 }
 
-// NewIssuer returns an issuer with a secret of its own.
+// NewIssuer returns an issuer with a new random secret.
 func NewIssuer(address string, incarnation Incarnation, clock *Clock) *Issuer {
 	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret)
 	return &Issuer{address: address, incarnation: incarnation, secret: secret, clock: clock}
 }
 
-// Issue returns a key for the organisation, bound to the caller's own request
-// ID unless that is empty, that can be used for the given lifetime.
+// Issue returns a key for the organisation that expires after the given lifetime. It is bound to
+// the caller's own request ID unless that is empty.
 func (i *Issuer) Issue(organisation, requestID string, lifetime time.Duration) string {
 	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce)
@@ -122,7 +119,7 @@
 		Nonce:        nonce,
 	})
 	if err != nil {
-		panic("idempotency: claims always encode: " + err.Error())
+		panic("idempotency: claims must always encode: " + err.Error())
 	}
 	enc := base64.RawURLEncoding
 	return keyPrefix + enc.EncodeToString(payload) + "." + enc.EncodeToString(i.mac(payload))
@@ -134,19 +131,19 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// Address returns the issuer's peer address.
+// Address returns the peer address of the issuer.
 func (i *Issuer) Address() string { return i.address }
 
 // Incarnation returns the issuer's incarnation.
 func (i *Issuer) Incarnation() Incarnation { return i.incarnation }
 
-// Owns tells whether the claims name this very incarnation.
+// Owns reports whether the claims name this incarnation of this instance.
 func (i *Issuer) Owns(c Claims) bool {
 	return c.Issuer == i.address && c.Incarnation == i.incarnation
 }
 
-// Verify checks the signature of a key that names this incarnation. It doesn't
-// check the expiry, which the Register does under its lock.
+// Verify checks the signature of a key that names this incarnation, and returns its claims. It
+// doesn't check the expiry, which the Registry does under its lock.
 func (i *Issuer) Verify(key string) (Claims, error) {
 	c, payload, mac, err := split(key)
 	if err != nil {
--- a/internal/idempotency/register.go
+++ b/internal/idempotency/registry.go
@@ -11,31 +11,32 @@
 	"github.com/tacktally/tacktally/internal/answer"
 )
 
-// Limits bounds a Register.
+// Limits are the limits of a Registry.
 type Limits struct {
-	// Lifetime of keys.
+	// Lifetime is the lifetime of an issued key.
 	Lifetime time.Duration
-	// MaxEntries bounds keys that are issued and not expired, and IDs in use.
+	// MaxEntries bounds the issued keys that haven't expired and the caller-chosen IDs in use,
+	// together.
 	MaxEntries int
-	// MaxAnswerBytes bounds the answers held.
+	// MaxAnswerBytes bounds the total size of the retained responses, in bytes.
 	MaxAnswerBytes int64
 }
 
-// Fingerprint sets apart requests under one key: a sum over what is asked.
+// Fingerprint is a hash of the content of a request. It distinguishes requests under the same key.
 type Fingerprint [sha256.Size]byte
 
-// String returns the sum in hex.
+// String returns the hash in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // Use is one attempt of a request under a key or a caller-chosen ID.
 type Use struct {
 	// Key is the issued key, or the organisation and the caller-chosen ID.
 	Key string
-	// Organisation that sends it.
+	// Organisation is the organisation that sends the request.
 	Organisation string
-	// Fingerprint of what is asked.
+	// Fingerprint is the hash of the request's content.
 	Fingerprint Fingerprint
-	// Expiry of the key on the register's clock.
+	// Expiry is the time at which the key expires, on the registry's clock.
 	Expiry time.Duration
 }
 
@@ -44,40 +45,40 @@
 	buffer   *answer.Buffer
 	evicted  bool
 	size     int
-	retained *list.Element // place in Register.answers, nil while running
+	retained *list.Element // element of Registry.answers; nil while running
 }
 
-// Registry remembers the keys in use and their answers. Safe for concurrent use.
-// No method blocks on input or output.
+// Registry remembers the keys in use and their responses. It is safe for concurrent use. No method
+// blocks on I/O.
 type Registry struct {
 	limits Limits
 	clock  *Clock
 
 	mu       sync.Mutex
 	entries  map[string]*entry
-	expiries []expiry   // in order of expiry: keys to forget and reservations to free
-	answers  *list.List // of *entry, oldest answer first
+	expiries []expiry   // by time: keys to remove and reservations to release
+	answers  *list.List // of *entry, oldest response first
 	bytes    int64
 	reserved int
-	// reservedBy counts reservations by organisation.
+	// reservedBy is the number of reservations by organisation.
 	reservedBy map[string]int
 }
 
-// expiry frees a reservation (key is empty) or forgets a key.
+// expiry is the time at which a key is removed or, if key is empty, a reservation is released.
 type expiry struct {
 	at           time.Duration
 	key          string
 	organisation string
 }
 
-// NewRegistry returns an empty register.
+// NewRegistry returns an empty registry.
 func NewRegistry(limits Limits, clock *Clock) *Registry {
 	return &Registry{limits: limits, clock: clock, entries: map[string]*entry{}, answers: list.New(), reservedBy: map[string]int{}}
 }
 
-// Reserve keeps room for a key about to be issued to an organisation. The room is
-// freed when the key expires, so that a key once issued always finds room. One
-// organisation may have half of all, so that the others find some.
+// Reserve reserves an entry for a key that is about to be issued to an organisation. The
+// reservation is released when the key expires, so there is always an entry for an issued key. One
+// organisation may reserve at most half of all entries, so that some remain for the others.
 func (r *Registry) Reserve(organisation string) *api.Problem {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +88,7 @@
 	if r.reserved >= r.limits.MaxEntries || own >= max(r.limits.MaxEntries/2, 1) {
 		wait := r.expiries[0].at - now
 		return api.Refuse(api.ReasonKeyLimit,
-			"%d idempotency keys are issued and not expired, %d of them to %s; come back later or raise idempotency.maxEntries", r.reserved, own, organisation).WithRetryAfter(wait)
+			"%d idempotency keys are issued and not expired, %d of them to %s; retry after the given time or raise idempotency.maxEntries", r.reserved, own, organisation).WithRetryAfter(wait)
 	}
 	r.reserved++
 	r.reservedBy[organisation]++
@@ -95,9 +96,9 @@
 	return nil
 }
 
-// Begin enters a use of a key. First is true for the one use that may dispatch;
-// its answer must be written to the returned buffer and finished. Every other
-// use gets the buffer of the first, or a Problem.
+// Begin adds a use of a key. First is true for the one use that may dispatch; its response must be
+// written to the returned buffer, which must be finished. Every other use gets the buffer of the
+// first, or a Problem.
 func (r *Registry) Begin(u Use) (buffer *answer.Buffer, first bool, problem *api.Problem) {
 	r.mu.Lock()
 	now := r.clock.Elapsed()
@@ -109,7 +110,7 @@
 	if now >= u.Expiry {
 		r.mu.Unlock()
 		return nil, false, api.LeaveUnknown(api.ReasonKeyExpired,
-			"the key's lifetime is over and its earlier use is forgotten; it will not run from now on: check what it did before you ask for a new key")
+			"the key has expired and its earlier use is no longer known; it won't run any more: check what it did before you request a new key")
 	}
 	e := &entry{use: u, buffer: answer.New(true)}
 	r.entries[u.Key] = e
@@ -119,8 +120,8 @@
 	return e.buffer, true, nil
 }
 
-// Join finds a use of a key without entering one. Found is false when the
-// register doesn't know the key.
+// Join returns the buffer of an earlier use of a key, without adding a use. Found is false if the
+// registry doesn't know the key.
 func (r *Registry) Join(u Use) (buffer *answer.Buffer, found bool, problem *api.Problem) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,16 +137,16 @@
 func (r *Registry) join(e *entry, u Use) (*answer.Buffer, bool, *api.Problem) {
 	if e.use.Organisation != u.Organisation || e.use.Fingerprint != u.Fingerprint {
 		return nil, false, api.Refuse(api.ReasonKeyMismatch,
-			"the key was used for another request; use one key for one request, and send repeats unchanged")
+			"the key was used for another request; use each key for one request, and send retries unchanged")
 	}
 	if e.evicted {
 		return nil, false, api.LeaveUnknown(api.ReasonAnswerEvicted,
-			"the request ran and was answered, but its answer is no longer held; look the result up at the service")
+			"the request ran and was answered, but its response is no longer retained; look up the result at the service")
 	}
 	return e.buffer, false, nil
 }
 
-// hold counts a finished answer, and drops the oldest answers past the bound.
+// retain counts a finished response, and evicts the oldest responses beyond the limit.
 func (r *Registry) retain(e *entry, size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +173,7 @@
 	r.bytes -= int64(e.size)
 }
 
-// forget drops what has expired. A use still running is kept until it ends.
+// expire removes expired keys and reservations. A use that is still running is kept until it ends.
 func (r *Registry) expire(now time.Duration) {
 	kept := r.expiries[:0]
 	done := 0
@@ -208,8 +209,8 @@
 	}
 }
 
-// insertExpiry keeps the order. Keys nearly always expire in the order in which
-// they were issued, so the search from the end is short.
+// insertExpiry inserts x in order of time. Keys almost always expire in the order in which they
+// were issued, so the search from the end is short.
 func insertExpiry(list []expiry, x expiry) []expiry {
 	i := len(list)
 	for i > 0 && list[i-1].at > x.at {
@@ -221,14 +222,14 @@
 	return list
 }
 
-// Stats tells how full the register is.
+// Stats are the numbers of entries, of reservations and of bytes in retained responses.
 type Stats struct {
 	Entries     int
 	Reserved    int
 	AnswerBytes int64
 }
 
-// Stats returns how full the register is.
+// Stats returns the current Stats.
 func (r *Registry) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
