--- a/internal/request/decode.go
+++ b/internal/request/decode.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// minTimeout and maxTimeout bound the time a caller may name.
+	// minTimeout and maxTimeout bound the timeout that a caller may set.
 	minTimeout = time.Millisecond
 	maxTimeout = time.Hour
 	idBytes    = 12
-	// ServicePrefix is the path under which services are reached.
+	// ServicePrefix is the path prefix of calls to services.
 	ServicePrefix = "/services/"
 )
 
-// modelBody is what the scheduler reads of an OpenAI request. The rest of the
-// body is passed on unread.
+// modelBody contains the fields of an OpenAI request that the scheduler uses. The body is forwarded
+// unchanged.
 type modelBody struct {
 	Model               string         `json:"model"`
 	Messages            jsontext.Value `json:"messages"`
@@ -40,15 +40,15 @@
 	MaxCompletionTokens *int           `json:"max_completion_tokens"`
 }
 
-// NewID draws a request ID.
+// NewID returns a random request ID.
 func NewID() string {
 	var b [idBytes]byte
 	_, _ = rand.Read(b[:])
 	return "req-" + hex.EncodeToString(b[:])
 }
 
-// Decode reads a caller's request and checks it against the snapshot. The
-// returned Request may be partly filled when a Problem is returned.
+// Decode decodes a caller's request and checks it against the snapshot. If it returns a Problem,
+// the returned Request may be partly filled.
 func Decode(now time.Time, h *http.Request, s *config.Snapshot, maxBody int64) (*Request, *api.Problem) {
 	r := &Request{ID: NewID(), Method: h.Method}
 	org, problem := authenticate(h, s)
@@ -83,12 +83,12 @@
 	return org, nil
 }
 
-// Authenticate finds the organisation of a request that isn't to be dispatched.
+// Authenticate returns the organisation of an HTTP request that isn't dispatched.
 func Authenticate(h *http.Request, s *config.Snapshot) (*config.Organisation, *api.Problem) {
 	return authenticate(h, s)
 }
 
-// decodeTerms reads the headers that say how the request is to be served.
+// decodeHeaders decodes the headers that set tier, timeout and idempotency.
 func (r *Request) decodeHeaders(now time.Time, h *http.Request, org *config.Organisation) *api.Problem {
 	tier := org.DefaultTier
 	if name := h.Header.Get(api.HeaderTier); name != "" {
@@ -129,13 +129,13 @@
 	attempt, problem := decodeAttempt(h)
 	r.Attempt = attempt
 	if _, err := idempotency.Parse(r.Key); err == nil {
-		r.NonIdempotent = true // an issued key says that the request runs at most once
+		r.NonIdempotent = true // a request under an issued key runs at most once
 	}
 	return problem
 }
 
-// decodeAttempt reads the mark of a first attempt: our own header, or the one
-// that OpenAI's clients send.
+// decodeAttempt decodes the number of the attempt from api.HeaderAttempt or from the header that
+// OpenAI's clients send.
 func decodeAttempt(h *http.Request) (Attempt, *api.Problem) {
 	first := 1
 	name := api.HeaderAttempt
@@ -211,13 +211,13 @@
 	if errors.As(err, &semantic) {
 		return api.Refuse(api.ReasonInvalidRequest, "the body's field %q has the wrong type; see the OpenAI API", semantic.JSONPointer)
 	}
-	return api.Refuse(api.ReasonInvalidRequest, "the body is not valid JSON in UTF-8 (%v); mend its syntax", err)
+	return api.Refuse(api.ReasonInvalidRequest, "the body is not valid JSON in UTF-8 (%v); correct its syntax", err)
 }
 
-// passedHeaders are the fields of a service request that reach the service.
+// forwardedHeaders are the header fields of a service request that are forwarded to the service.
 var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", "User-Agent"}
 
-// serviceMethods are the methods that are passed to services.
+// serviceMethods are the methods that are forwarded to services.
 var serviceMethods = map[string]bool{
 	http.MethodGet: true, http.MethodHead: true, http.MethodPost: true,
 	http.MethodPut: true, http.MethodPatch: true, http.MethodDelete: true,
@@ -231,7 +231,7 @@
 		return api.Refuse(api.ReasonUnknownService, "no service is named %q; ask your operator which are declared", name)
 	}
 	if !serviceMethods[r.Method] {
-		return api.Refuse(api.ReasonInvalidRequest, "method %s isn't passed to services; use GET, HEAD, POST, PUT, PATCH or DELETE", r.Method)
+		return api.Refuse(api.ReasonInvalidRequest, "method %s isn't forwarded to services; use GET, HEAD, POST, PUT, PATCH or DELETE", r.Method)
 	}
 	_, rawPath, _ := strings.Cut(strings.TrimPrefix(h.URL.EscapedPath(), ServicePrefix), "/")
 	r.Service = name
@@ -254,7 +254,7 @@
 func readBody(body io.Reader, limit int64) ([]byte, *api.Problem) {
 	content, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
-		return nil, api.Refuse(api.ReasonInvalidRequest, "the body could not be read whole (%v); send it again", err)
+		return nil, api.Refuse(api.ReasonInvalidRequest, "the body could not be read completely (%v); send it again", err)
 	}
 	if int64(len(content)) > limit {
 		return nil, api.Refuse(api.ReasonBodyTooLarge, "the body is larger than %d bytes; send less", limit)
@@ -262,7 +262,7 @@
 	return content, nil
 }
 
-// String names the request in errors.
+// String identifies the request in errors.
 func (r *Request) String() string {
 	if r.Kind == Service {
 		return fmt.Sprintf("%s %s %s%s", r.ID, r.Method, r.Service, r.Path)
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,4 @@
-// Package request holds the type of a caller's request inside the daemon, and
-// reads it from HTTP.
+// Package request defines a caller's request inside the daemon and decodes it from HTTP.
 package request
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/tacktally/tacktally/internal/prefix"
 )
 
-// Kind tells which protocol a request speaks.
+// Kind is the API that a request uses.
 type Kind uint8
 
 // The kinds.
@@ -21,82 +20,81 @@
 	Service
 )
 
-// Attempt tells what the caller says of a caller-chosen ID.
+// Attempt is how the caller marked an attempt under a caller-chosen ID.
 type Attempt uint8
 
 // The attempts.
 const (
-	// AttemptUnmarked: the caller doesn't say; it may be a repeat.
+	// AttemptUnmarked: the caller didn't mark the attempt; it may be a retry.
 	AttemptUnmarked Attempt = iota
 	// AttemptFirst: the caller sends it for the first time.
 	AttemptFirst
-	// AttemptRetry: the caller has sent it before.
+	// AttemptRetry: the caller has sent the request before.
 	AttemptRetry
 )
 
-// Request is one request of a caller. It travels between instances as CBOR.
-// It is not changed once decoded.
+// Request is one request of a caller. It is sent between instances as CBOR and isn't changed once
+// decoded.
 type Request struct {
-	// ID names the request in logs and answers.
+	// ID identifies the request in logs and responses.
 	ID   string `cbor:"1,keyasint"`
 	Kind Kind   `cbor:"2,keyasint"`
-	// Organisation that the API key belongs to.
+	// Organisation is the organisation that the API key belongs to.
 	Organisation string `cbor:"3,keyasint"`
 	Tier         string `cbor:"4,keyasint"`
-	// Timeout is the time left when the request was sent to this instance. It
-	// travels instead of a deadline, so that clocks needn't agree.
+	// Timeout is the time that was left when the request was sent to this instance. It is sent
+	// instead of a deadline, so that clocks needn't agree.
 	Timeout time.Duration `cbor:"5,keyasint"`
 	// NonIdempotent requests run at most once, under Key.
 	NonIdempotent bool `cbor:"6,keyasint,omitempty"`
-	// Key is an issued key or a caller-chosen ID; Attempt goes with the latter.
+	// Key is an issued key or a caller-chosen ID. Attempt only matters for a caller-chosen ID.
 	Key     string  `cbor:"7,keyasint,omitempty"`
 	Attempt Attempt `cbor:"8,keyasint,omitempty"`
-	// JoinOnly asks only for the answer of an earlier attempt; the body is absent.
+	// JoinOnly requests only the response of an earlier attempt; Body is empty.
 	JoinOnly bool `cbor:"9,keyasint,omitempty"`
-	// Fingerprint is the fingerprint of what is asked.
+	// Fingerprint is a hash of everything that affects what an upstream does.
 	Fingerprint idempotency.Fingerprint `cbor:"10,keyasint"`
-	// Body as the caller sent it.
+	// Body is the body as the caller sent it.
 	Body []byte `cbor:"11,keyasint,omitempty"`
 
-	// Model requests: the model, whether the answer is streamed, the length of
-	// the prompt and the limit of the output in tokens, and the resume token.
+	// For model requests: the model, whether the response is streamed, the length of the prompt
+	// and the limit of the output in tokens, and the resume token.
 	Model           string `cbor:"12,keyasint,omitempty"`
 	Stream          bool   `cbor:"13,keyasint,omitempty"`
 	PromptTokens    int    `cbor:"14,keyasint,omitempty"`
 	MaxOutputTokens int    `cbor:"15,keyasint,omitempty"`
 	LastEventID     string `cbor:"16,keyasint,omitempty"`
 
-	// Service requests: the service, the call below its prefix, and its header.
+	// For service requests: the service, the call below its prefix, and its header fields.
 	Service string              `cbor:"17,keyasint,omitempty"`
 	Method  string              `cbor:"18,keyasint,omitempty"`
 	Path    string              `cbor:"19,keyasint,omitempty"`
 	Query   string              `cbor:"20,keyasint,omitempty"`
 	Header  map[string][]string `cbor:"21,keyasint,omitempty"`
 
-	// PrefixHashes is the prompt's prefix sums.
+	// PrefixHashes are the hashes of the prompt's prefixes.
 	PrefixHashes []uint64 `cbor:"22,keyasint,omitempty"`
 	// RawPath is Path as the caller escaped it.
 	RawPath string `cbor:"25,keyasint,omitempty"`
 
-	// Age is the time since the caller's attempt arrived, when it was sent to this
-	// instance.
+	// Age is the time between the arrival of the caller's attempt and the sending to this instance.
 	Age time.Duration `cbor:"23,keyasint,omitempty"`
-	// Spilled requests came from another availability zone that had no room; they
-	// are not sent on again.
+	// Spilled requests came from another availability zone that had no free capacity. They are not
+	// spilled again.
 	Spilled bool `cbor:"24,keyasint,omitempty"`
 
-	// Arrived and Deadline on this instance's clock; set when it is received.
+	// Arrived and Deadline are on this instance's clock; SetTimes sets them.
 	Arrived  time.Time `cbor:"-"`
 	Deadline time.Time `cbor:"-"`
 }
 
-// SetTimes sets the times on this instance's clock.
+// SetTimes sets Arrived and Deadline for a request that this instance received now.
 func (r *Request) SetTimes(now time.Time) {
 	r.Arrived = now.Add(-r.Age)
 	r.Deadline = now.Add(r.Timeout)
 }
 
-// ForPeer returns a copy to send to another instance now.
+// ForPeer returns a copy to be sent to another instance now.
 func (r *Request) ForPeer(now time.Time) *Request {
 	c := *r
 	c.Timeout = r.Deadline.Sub(now)
@@ -104,7 +102,7 @@
 	return &c
 }
 
-// seal sums what is asked: all that changes what an upstream would do.
+// computeFingerprint hashes everything that affects what an upstream does.
 func (r *Request) computeFingerprint() {
 	h := sha256.New()
 	for _, part := range []string{r.Organisation, r.Model, r.Service, r.Method, r.Path, r.RawPath, r.Query} {
@@ -118,7 +116,7 @@
 	h.Sum(r.Fingerprint[:0])
 }
 
-// chain sums the prompt's prefixes and estimates its length in tokens.
+// hashPrompt sets the hashes of the prompt's prefixes and estimates its length in tokens.
 func (r *Request) hashPrompt(prompt []byte) {
 	r.PrefixHashes = prefix.Hashes(prompt)
 	r.PromptTokens = max(len(prompt)/prefix.BytesPerToken, 1)
