--- a/internal/orglimit/orglimit.go
+++ b/internal/orglimit/orglimit.go
@@ -1,15 +1,15 @@
-// Package orglimit bounds the tokens a second of each organisation over all
-// instances, without shared state.
+// Package orglimit limits the tokens per second of each organisation over all instances, without
+// shared state.
 //
-// Each instance grants a share of an organisation's total. Instances that hear
-// each other divide it by demand, which their heartbeats tell; an instance that
-// isn't heard of is left its static share, one part of as many as the platform's
-// list has instances. When instances are cut apart, each side so comes down to
-// the static shares of its own members, and the sum stays at the total.
+// Each instance grants a share of an organisation's total rate. Instances that are reachable from
+// each other divide the total by demand, which they report in heartbeats. An unreachable instance
+// keeps its static share, which is the total divided by the number of instances in the platform's
+// list; the others don't use it. In a network partition, each side therefore falls back to the
+// static shares of its own members, and the sum stays at the total.
 //
-// The total is exceeded only while views differ: by at most the total times the
-// silence after which a peer counts as unreachable, for each cut, and by at most
-// the total times a heartbeat for each jump of demand.
+// The total is exceeded only while views differ: by at most the total times the time after which a
+// silent peer counts as unreachable, for each partition, and by at most the total times a heartbeat
+// interval for each jump in demand.
 package orglimit
 
 import (
@@ -21,63 +21,65 @@
 const (
 	// burst is the time over which an idle organisation saves up its share.
 	burst = time.Second
-	// topReserve is the part of a saved-up share that only the most important tier
-	// may use, so that an organisation's lower work doesn't hold off its highest.
+	// topTierReserve is the share of the saved-up tokens that only the most important tier may use,
+	// so that an organisation's lower tiers don't delay its highest one.
 	topTierReserve = 0.25
-	// demandHalfLife is the time in which past demand loses half its weight.
+	// demandHalfLife is the time after which past demand has half its weight.
 	demandHalfLife = time.Second
-	// demandFloor is the demand, in tokens a second, below which none is told.
+	// demandFloor is the demand, in tokens per second, below which none is reported.
 	demandFloor = 1
-	// idleShare is the part of the total kept for an instance that tells no demand,
-	// so that its first requests are granted before its demand is known.
+	// idleShare is the share of the total kept for an instance that reports no demand, so that its
+	// first requests are granted before its demand is known.
 	idleShare = 0.02
-	// idleAfter is when an organisation without demand is forgotten.
+	// idleTimeout is the time after which an organisation without demand is removed.
 	idleTimeout = time.Minute
 )
 
-// Limiter grants tokens to organisations at one instance. Safe for concurrent use.
+// Limiter grants tokens to organisations at one instance. It is safe for concurrent use.
 type Limiter struct {
 	mu        sync.Mutex
-	instances int // on the platform's list, this one included
-	peers     map[string]map[string]float64
+	instances int                           // in the platform's list, including this one
+	peers     map[string]map[string]float64 // demands in tokens per second, by peer and organisation
 	orgs      map[string]*organisation
 }
 
-// organisation is what this instance has granted to one organisation.
+// organisation is the state of one organisation at this instance.
 type organisation struct {
 	level      float64 // tokens that may be granted; negative is a debt
 	refilled   time.Time
-	demand     float64 // tokens a second asked for here, smoothed
+	demand     float64 // tokens per second requested here, smoothed
 	demandTime time.Time
 }
 
-// NewLimiter returns a limiter that knows no peers.
+// NewLimiter returns a limiter without peers.
 func NewLimiter() *Limiter {
 	return &Limiter{instances: 1, peers: map[string]map[string]float64{}, orgs: map[string]*organisation{}}
 }
 
-// SetInstances takes the number of instances on the platform's list.
+// SetInstances sets the number of instances in the platform's list.
 func (l *Limiter) SetInstances(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.instances = max(n, 1)
 }
 
-// SetPeerDemands takes the demands, in tokens a second by organisation, that a peer told.
+// SetPeerDemands sets the demands that a peer reported, in tokens per second by organisation.
 func (l *Limiter) SetPeerDemands(peer string, demands map[string]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.peers[peer] = demands
 }
 
-// RemovePeer forgets a peer that can't be heard any more.
+// RemovePeer removes the demands of a peer that is no longer reachable. The peer keeps its static
+// share.
 func (l *Limiter) RemovePeer(peer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.peers, peer)
 }
 
-// Demands returns what to tell the peers.
+// Demands returns the demands to report to the peers, in tokens per second by organisation. It
+// removes organisations without recent demand.
 func (l *Limiter) Demands(now time.Time) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,19 +96,21 @@
 	return out
 }
 
-// TakeRequest is a request's demand.
+// TakeRequest is a request for tokens.
 type TakeRequest struct {
 	Organisation string
-	// TotalRate of the organisation over all instances, in tokens a second; 0 is no limit.
+	// TotalRate is the limit of the organisation over all instances, in tokens per second; 0 means
+	// no limit.
 	TotalRate float64
-	// Tokens that the request may use.
+	// Tokens is the number of tokens that the request may use.
 	Tokens int
-	// TopTier tells whether it is of the most important tier.
+	// TopTier reports whether the request is of the most important tier.
 	TopTier bool
 }
 
-// Take grants a request its tokens. When it doesn't, wait is when to come back. A
-// grant may run into debt, so that a large request isn't held off for ever.
+// Take reports whether a request is granted its tokens. If not, wait is the time after which to
+// retry. A grant may leave the organisation in debt, so that a large request isn't delayed
+// indefinitely.
 func (l *Limiter) Take(now time.Time, a TakeRequest) (granted bool, wait time.Duration) {
 	if a.TotalRate <= 0 {
 		return true, 0
@@ -133,7 +137,7 @@
 	return true, 0
 }
 
-// Return gives back tokens that were granted and not used.
+// Return returns tokens that were granted and not used.
 func (l *Limiter) Return(name string, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +146,7 @@
 	}
 }
 
-// share is this instance's part of the total, in tokens a second.
+// share returns this instance's share of the total, in tokens per second.
 func (l *Limiter) share(now time.Time, name string, total float64) float64 {
 	reporting := len(l.peers)
 	missing := max(l.instances-1-reporting, 0)
@@ -160,17 +164,20 @@
 	return shared * own / sum
 }
 
+// demandAt returns the demand decayed to the given time, in tokens per second.
 func (o *organisation) demandAt(now time.Time) float64 {
 	return o.demand * math.Exp2(-now.Sub(o.demandTime).Seconds()/demandHalfLife.Seconds())
 }
 
-// ask counts a demand. A steady rate of r tokens a second comes to a demand of r.
+// addDemand adds requested tokens to the demand. A steady rate of r tokens per second results in a
+// demand of r.
 func (o *organisation) addDemand(now time.Time, tokens int) {
 	perSecond := math.Ln2 / demandHalfLife.Seconds()
 	o.demand = o.demandAt(now) + float64(tokens)*perSecond
 	o.demandTime = now
 }
 
+// refill adds the share of the time since the last refill, up to a burst.
 func (o *organisation) refill(now time.Time, share float64) {
 	o.level = min(o.level+share*now.Sub(o.refilled).Seconds(), max(share*burst.Seconds(), o.level))
 	o.refilled = now
--- a/internal/orglimit/orglimit_test.go
+++ b/internal/orglimit/orglimit_test.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	total     = 1000.0 // tokens a second
-	cost      = 20     // tokens of a request
-	heartbeat = 500 * time.Millisecond
-	silence   = 2 * time.Second
-	step      = 10 * time.Millisecond
+	total            = 1000.0 // tokens per second
+	cost             = 20     // tokens of a request
+	heartbeat        = 500 * time.Millisecond
+	unreachableAfter = 2 * time.Second
+	step             = 10 * time.Millisecond
 )
 
 func takeRequest(tokens int) TakeRequest {
@@ -21,32 +21,32 @@
 
 var names = []string{"a", "b", "c"}
 
-// fleet is three limiters that tell each other their demands in virtual time.
+// fleet is three limiters that report their demands to each other in virtual time.
 type fleet struct {
-	limiters map[string]*Limiter
-	now      time.Time
-	apart    map[string]bool // cut off from the others
-	lastTold map[string]map[string]time.Time
+	limiters     map[string]*Limiter
+	now          time.Time
+	partitioned  map[string]bool // instances partitioned from the others
+	lastReported map[string]map[string]time.Time
 }
 
 func newFleet() *fleet {
-	f := &fleet{limiters: map[string]*Limiter{}, now: time.Unix(0, 0), apart: map[string]bool{}, lastTold: map[string]map[string]time.Time{}}
+	f := &fleet{limiters: map[string]*Limiter{}, now: time.Unix(0, 0), partitioned: map[string]bool{}, lastReported: map[string]map[string]time.Time{}}
 	for _, n := range names {
 		f.limiters[n] = NewLimiter()
 		f.limiters[n].SetInstances(len(names))
-		f.lastTold[n] = map[string]time.Time{}
+		f.lastReported[n] = map[string]time.Time{}
 	}
 	return f
 }
 
-// run lets each instance be asked at its rate, in tokens a second, and returns the
-// tokens granted a second.
+// run sends requests to each instance at its rate, in tokens per second, and returns the tokens
+// granted per second, by instance and in total.
 func (f *fleet) run(d time.Duration, rates map[string]float64) (granted map[string]float64, sum float64) {
 	granted = map[string]float64{}
 	owed := map[string]float64{}
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		if f.now.UnixNano()%int64(heartbeat) == 0 {
-			f.tell()
+			f.exchangeDemands()
 		}
 		for _, n := range names {
 			for owed[n] += rates[n] * step.Seconds(); owed[n] >= cost; owed[n] -= cost {
@@ -60,16 +60,16 @@
 	return granted, sum
 }
 
-func (f *fleet) tell() {
+func (f *fleet) exchangeDemands() {
 	for _, from := range names {
 		for _, to := range names {
 			if from == to {
 				continue
 			}
-			if !f.apart[from] && !f.apart[to] {
+			if !f.partitioned[from] && !f.partitioned[to] {
 				f.limiters[to].SetPeerDemands(from, f.limiters[from].Demands(f.now))
-				f.lastTold[to][from] = f.now
-			} else if f.now.Sub(f.lastTold[to][from]) > silence {
+				f.lastReported[to][from] = f.now
+			} else if f.now.Sub(f.lastReported[to][from]) > unreachableAfter {
 				f.limiters[to].RemovePeer(from)
 			}
 		}
@@ -79,17 +79,17 @@
 func TestSharesFollowDemand(t *testing.T) {
 	for name, c := range map[string]struct {
 		rates    map[string]float64
-		minShare map[string]float64 // granted at least, of the total
+		minShare map[string]float64 // minimum granted, as a share of the total
 	}{
-		"all at one":      {map[string]float64{"a": 3000}, map[string]float64{"a": 0.9}},
-		"even":            {map[string]float64{"a": 3000, "b": 3000, "c": 3000}, map[string]float64{"a": 0.3, "b": 0.3, "c": 0.3}},
-		"skewed":          {map[string]float64{"a": 4000, "b": 1000}, map[string]float64{"a": 0.7, "b": 0.15}},
-		"below the total": {map[string]float64{"a": 600, "b": 300}, map[string]float64{"a": 0.57, "b": 0.27}},
+		"all at one instance": {map[string]float64{"a": 3000}, map[string]float64{"a": 0.9}},
+		"even":                {map[string]float64{"a": 3000, "b": 3000, "c": 3000}, map[string]float64{"a": 0.3, "b": 0.3, "c": 0.3}},
+		"skewed":              {map[string]float64{"a": 4000, "b": 1000}, map[string]float64{"a": 0.7, "b": 0.15}},
+		"below the total":     {map[string]float64{"a": 600, "b": 300}, map[string]float64{"a": 0.57, "b": 0.27}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet()
-			f.run(5*time.Second, c.rates) // demand becomes known
+			f.run(5*time.Second, c.rates) // until the demand is known
 			granted, sum := f.run(20*time.Second, c.rates)
 			is.True(sum <= 1.05*total)
 			for n, minShare := range c.minShare {
@@ -101,27 +101,27 @@
 	}
 }
 
-// Cut apart, each side comes down to the static shares of its members; the sum
-// stays at the total but for the time until the silence is noticed.
-func TestCutApartKeepsTheTotal(t *testing.T) {
+// In a network partition, each side falls back to the static shares of its members. The sum stays
+// at the total, except until the partition is detected.
+func TestPartitionKeepsTheTotal(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
 	all := map[string]float64{"a": 3000, "b": 3000, "c": 3000}
 	f.run(5*time.Second, all)
-	f.apart["a"] = true
-	_, sum := f.run(silence+heartbeat, all)
-	is.True(sum <= 2*total) // at most the total once more while it isn't noticed
+	f.partitioned["a"] = true
+	_, sum := f.run(unreachableAfter+heartbeat, all)
+	is.True(sum <= 2*total) // at most the total once more until the partition is detected
 	granted, sum := f.run(20*time.Second, all)
 	is.True(sum <= 1.05*total)
 	is.True(granted["a"] >= 0.3*total) // its static share, no more
 	is.True(granted["a"] <= 0.36*total)
-	f.apart["a"] = false
+	f.partitioned["a"] = false
 	f.run(5*time.Second, all)
 	_, sum = f.run(20*time.Second, all)
 	is.True(sum <= 1.05*total && sum >= 0.9*total)
 }
 
-func TestJumpOfDemandIsBounded(t *testing.T) {
+func TestExcessAfterAJumpInDemandIsBounded(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
 	f.run(10*time.Second, map[string]float64{"a": 5000})
@@ -129,7 +129,7 @@
 	is.True(sum*2 <= total*2+2*total*heartbeat.Seconds()) // one heartbeat for each of two jumps
 }
 
-func TestWaitTellsWhenToComeBack(t *testing.T) {
+func TestWaitIsTheTimeUntilTheDebtIsPaid(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter()
 	now := time.Unix(0, 0)
@@ -145,8 +145,8 @@
 	is.True(ok)
 }
 
-// An organisation's lower work leaves a part of its share to its highest tier.
-func TestLowerTiersLeaveAReserve(t *testing.T) {
+// An organisation's lower tiers leave a reserve of its share to its highest tier.
+func TestLowerTiersLeaveAReserveToTheTopTier(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter()
 	now := time.Unix(0, 0)
