--- a/internal/orders/orders.go
+++ b/internal/orders/reconciler.go
@@ -1,20 +1,18 @@
 // Package orders makes engines load what the configuration declares.
 //
-// What an engine should have loaded is a pure function of the accepted revision,
-// and the revision is the fencing number, so two instances can only give the same
-// order under the same number. One instance of an availability zone gives them:
-// the one with the lowest address that it believes in service. Two may believe so
-// for a while; then
+// What an engine must have loaded is a pure function of the accepted revision, and the revision is
+// the fencing number. Two instances can therefore only send the same orders under the same number.
+// One instance of an availability zone sends the orders: the one with the lowest address among the
+// instances that it considers in service. Two instances may do so for a while. In this case:
+//   - Engines that check the fencing number refuse the older order.
+//   - Other engines get orders only from an instance that has just read from the platform that its
+//     revision is the current one, and that wasn't paused since. The next round reads what these
+//     engines have loaded, and corrects it.
 //
-//   - engines that check the fencing number refuse the older order;
-//   - engines that don't are ordered only by an instance that has just read from
-//     the platform that its revision is the current one and wasn't paused since,
-//     and what they have is read back and put right in the next round.
+// Protocol of the engines, as implemented by the fake in internal/standin/engine:
 //
-// The engines' protocol, as the stand-in in internal/standin/engine speaks it:
-//
-//	GET  /v1/state    what is loaded, as State
-//	POST /v1/orders   an Order; 409 when its fencing number is old
+//	GET  /v1/state    returns what is loaded, as State
+//	POST /v1/orders   takes an Order; responds 409 if its fencing number is old
 package orders
 
 import (
@@ -36,23 +34,23 @@
 )
 
 const (
-	// every is the time between two rounds.
+	// interval is the time between two rounds.
 	interval = time.Second
 	// callTimeout bounds one call to an engine.
 	callTimeout   = 2 * time.Second
 	maxStateBytes = 1 << 20
 )
 
-// State is what an engine has loaded and does.
+// State is what an engine has loaded, and its role.
 type State struct {
 	Fencing int64    `json:"fencing"`
 	Models  []string `json:"models"`
-	// Adapters loaded, their versions by name.
+	// Adapters are the versions of the loaded adapters, by name.
 	Adapters map[string]string `json:"adapters"`
 	Role     api.EngineRole    `json:"role"`
 }
 
-// Kind of an order.
+// Kind is the kind of an order.
 type Kind string
 
 // The kinds.
@@ -66,13 +64,13 @@
 type Order struct {
 	Fencing int64 `json:"fencing"`
 	Kind    Kind  `json:"kind"`
-	// Name of the model, adapter or role.
+	// Name is the name of the model, adapter or role.
 	Name string `json:"name"`
-	// Version of an adapter.
+	// Version is the version of an adapter; empty for other kinds.
 	Version string `json:"version,omitzero"`
 }
 
-// missing returns the orders that bring an engine to what is declared of its set.
+// missingOrders returns the orders that bring an engine to the state declared for its set.
 func missingOrders(set *config.EngineSet, s State) []Order {
 	var out []Order
 	if set.LoadModels {
@@ -93,34 +91,34 @@
 	return out
 }
 
-// ordersAnything tells whether anything is declared that engines can lack.
+// declaresOrders reports whether the set declares anything for which orders may be needed.
 func declaresOrders(set *config.EngineSet) bool {
 	return set.LoadModels || len(set.Adapters) > 0 || set.Role != ""
 }
 
 // Errors of an order.
 var (
-	// ErrFenced: the engine has had an order with a higher number.
-	ErrFenced = errors.New("the engine refused an old fencing number; a newer revision is in force")
-	// ErrNotCurrent: the platform doesn't confirm the revision now.
-	ErrNotCurrent = errors.New("the platform doesn't confirm the revision; engines that don't check fencing get no orders until it does")
+	// ErrFenced: the engine has received an order with a higher fencing number.
+	ErrFenced = errors.New("the engine refused an old fencing number; a newer revision is current")
+	// ErrNotCurrent: the platform doesn't confirm that the revision is the current one.
+	ErrNotCurrent = errors.New("the platform doesn't confirm the revision; engines that don't check fencing numbers get no orders until it does")
 )
 
-// Instance is what the package needs of the daemon.
+// Instance is the daemon as this package uses it.
 type Instance interface {
-	// Snapshot returns the configuration in force, after a pause only once it was
-	// read anew.
+	// Snapshot returns the current configuration. After a pause it blocks until the configuration
+	// has been refreshed or the refresh timed out.
 	Snapshot(ctx context.Context) *config.Snapshot
-	// Engines returns the live engines of a set in this availability zone.
+	// Engines returns the addresses of the live engines of a set in this availability zone.
 	Engines(set string) []string
-	// SendsOrders tells whether this is the instance of the zone that does.
+	// SendsOrders reports whether this instance sends the orders in its zone.
 	SendsOrders() bool
-	// ConfirmRevision returns a check that the revision is the platform's current one: it
-	// reads it now, and the returned function fails after a pause.
+	// ConfirmRevision reads from the platform whether the revision is the current one. The returned
+	// function fails if the process was paused since then.
 	ConfirmRevision(ctx context.Context, revision int64) (stillCurrent func() error, err error)
 }
 
-// Reconciler gives the orders of one instance.
+// Reconciler sends the orders of one instance.
 type Reconciler struct {
 	instance Instance
 	loads    *rate.Limiter
@@ -129,7 +127,7 @@
 	log      *log.Logger
 }
 
-// NewReconciler returns a giver that orders at most so many loads a minute, since the
+// NewReconciler returns a reconciler that orders at most loadsPerMinute loads per minute, since the
 // store of weights is rate-limited.
 func NewReconciler(i Instance, loadsPerMinute int, m *telemetry.Metrics, l *log.Logger) *Reconciler {
 	return &Reconciler{
@@ -141,7 +139,7 @@
 	}
 }
 
-// Run gives orders until ctx ends.
+// Run sends orders in each interval until ctx is done.
 func (r *Reconciler) Run(ctx context.Context) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -155,7 +153,7 @@
 	}
 }
 
-// Reconcile compares each engine with what is declared and orders what is missing.
+// Reconcile compares the state of each engine with the declared state and orders what is missing.
 func (r *Reconciler) Reconcile(ctx context.Context) {
 	s := r.instance.Snapshot(ctx)
 	if s == nil || !r.instance.SendsOrders() {
@@ -176,10 +174,10 @@
 
 func (r *Reconciler) recordFailure(address string, err error) {
 	r.metrics.Count("tacktally_order_failures_total")
-	r.log.Warn().Str("event", "order_failed").Str("engine", address).Str("cause", err.Error()).Msg("")
+	r.log.Warn().Str("event", "order_failed").Str("engine", address).Str("cause", err.Error()).Msg("order failed; the next round retries")
 }
 
-// engine orders what one engine lacks.
+// reconcileEngine sends the missing orders to one engine.
 func (r *Reconciler) reconcileEngine(ctx context.Context, revision int64, set *config.EngineSet, address string) error {
 	state, err := r.readState(ctx, address)
 	if err != nil {
@@ -188,14 +186,14 @@
 	for _, o := range missingOrders(set, state) {
 		if o.Kind != TakeRole && !r.loads.Allow() {
 			r.metrics.Count("tacktally_orders_deferred_total")
-			return nil // the next rounds go on
+			return nil // the next rounds continue
 		}
 		o.Fencing = revision
 		if err := r.sendOrder(ctx, set, address, o); err != nil {
 			return err
 		}
 		r.metrics.Count("tacktally_orders_total")
-		r.log.Info().Str("event", "ordered").Str("engine", address).Str("kind", string(o.Kind)).Str("name", o.Name).Str("version", o.Version).Int64("revision", revision).Msg("")
+		r.log.Info().Str("event", "ordered").Str("engine", address).Str("kind", string(o.Kind)).Str("name", o.Name).Str("version", o.Version).Int64("revision", revision).Msg("order sent to engine")
 	}
 	return nil
 }
@@ -211,7 +209,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("engine %s answered %s when asked what is loaded", address, response.Status)
+		return s, fmt.Errorf("read state of engine %s: status %s", address, response.Status)
 	}
 	return s, json.UnmarshalRead(http.MaxBytesReader(nil, response.Body, maxStateBytes), &s)
 }
@@ -241,6 +239,6 @@
 	case http.StatusConflict:
 		return ErrFenced
 	default:
-		return fmt.Errorf("engine %s answered %s to an order", address, response.Status)
+		return fmt.Errorf("send order to engine %s: status %s", address, response.Status)
 	}
 }
