--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon wires the parts of one instance together and runs it.
+// Package daemon builds one instance from its components and runs it.
 package daemon
 
 import (
@@ -37,40 +37,40 @@
 	"github.com/tacktally/tacktally/internal/watch"
 )
 
-// maxRanks bounds the tiers of which heartbeats tell the queue.
+// maxRanks bounds the tiers whose queues are reported in heartbeats.
 const maxRanks = 8
 
-// refreshPatience bounds how long requests wait, after a pause, for the
-// configuration and the instance list to be read anew.
+// refreshTimeout bounds how long requests wait, after a pause, for the configuration and the
+// instance list to be refreshed.
 const refreshTimeout = time.Second
 
 // Daemon is one running instance.
 type Daemon struct {
 	settings    *settings.Settings
 	listeners   listeners
-	token       string // of operators
+	token       string // operators' bearer token
 	address     string
 	incarnation idempotency.Incarnation
 	started     time.Time
 	log         *log.Logger
 	metrics     *telemetry.Metrics
 
-	// What it believes, and when that must be read anew.
+	// State, and the detection of pauses after which it must be refreshed.
 	holder    *config.Holder
 	changes   *watch.Log
 	instances *instanceList
 	pauses    *pause.Detector
 	gate      *pause.Gate
-	// quarantine is what is known of requests that crash upstreams.
+	// quarantine holds the requests that are believed to crash upstreams.
 	quarantine *quarantine.Registry
 
-	// What it calls.
+	// Clients.
 	platform  *platform.Client
 	upstreams *upstream.Client
 	caches    *cacheevents.Follower
 	mesh      *peer.Mesh
 
-	// What serves requests.
+	// Serving.
 	clock         *idempotency.Clock
 	registry      *idempotency.Registry
 	organisations *orglimit.Limiter
@@ -80,11 +80,11 @@
 
 	drained   chan struct{}
 	drainOnce sync.Once
-	life      context.Context // ends with end, when Run does
-	end       context.CancelFunc
+	runCtx    context.Context // cancelled when Run returns
+	cancelRun context.CancelFunc
 }
 
-// New builds a daemon and opens its listeners. Run serves them.
+// New returns a daemon and opens its listeners. Run serves them.
 func New(s *settings.Settings, logTo io.Writer) (*Daemon, error) {
 	token, err := readToken(s.Operators.TokenFile)
 	if err != nil {
@@ -112,7 +112,7 @@
 		organisations: orglimit.NewLimiter(),
 		drained:       make(chan struct{}),
 	}
-	d.life, d.end = context.WithCancel(context.Background())
+	d.runCtx, d.cancelRun = context.WithCancel(context.Background())
 	d.log = telemetry.NewLogger(logTo, s.Log.Level, d.address)
 	d.quarantine = quarantine.New(d.log, d.ownsProbes)
 	d.gate = &pause.Gate{Detector: d.pauses, Refresh: d.refresh, RefreshTimeout: refreshTimeout}
@@ -148,7 +148,7 @@
 	})
 }
 
-// newGateway builds the gateway and the register of keys that it uses.
+// newGateway returns the gateway, and sets the registry of keys that it uses.
 func (d *Daemon) newGateway() *gateway.Gateway {
 	s := d.settings.Idempotency
 	lifetime := time.Duration(s.KeyLifetime)
@@ -195,8 +195,8 @@
 	d.metrics.Gauge("tacktally_peers_reachable", func() float64 { return float64(d.reachablePeers()) })
 }
 
-// ownsProbes tells whether this instance, of those within its reach, lets tries of a request through that
-// is held back: the one that comes first by rendezvous hashing.
+// ownsProbes reports whether this instance lets the probes of a quarantined request through. It
+// does if it comes first among the reachable instances by rendezvous hashing.
 func (d *Daemon) ownsProbes(k quarantine.Key) bool {
 	score := func(address string) uint64 {
 		return xxhash.Sum64String(address + "\x00" + k.Organisation + "\x00" + k.String())
@@ -218,56 +218,57 @@
 // Address returns the peer address.
 func (d *Daemon) Address() string { return d.address }
 
-// CallerAddress returns where callers are listened to.
+// CallerAddress returns the address of the listener for callers.
 func (d *Daemon) CallerAddress() string { return d.listeners.callers.Addr().String() }
 
-// OperatorAddress returns where operators are listened to.
+// OperatorAddress returns the address of the listener for operators.
 func (d *Daemon) OperatorAddress() string { return d.listeners.operators.Addr().String() }
 
-// Run serves until ctx ends or an operator drains the instance, and then shuts
-// down gracefully: it refuses new work with a time to come back, finishes what is
-// in flight, tells its peers, and returns.
+// Run serves until ctx is done or an operator drains the instance, and then shuts down gracefully:
+// it refuses new work with a retry delay, finishes the requests in flight, announces the shutdown
+// to its peers, and returns.
 func (d *Daemon) Run(ctx context.Context) {
-	life := d.life
-	defer d.end()
+	runCtx := d.runCtx
+	defer d.cancelRun()
 	d.mesh.SetPeers(d.settings.Peers.Seeds)
 	var background sync.WaitGroup
-	background.Go(func() { d.pauses.Run(life) })
+	background.Go(func() { d.pauses.Run(runCtx) })
 	background.Go(func() {
-		orders.NewReconciler(d, d.settings.Upstreams.WeightLoadsPerMinute, d.metrics, d.log).Run(life)
+		orders.NewReconciler(d, d.settings.Upstreams.WeightLoadsPerMinute, d.metrics, d.log).Run(runCtx)
 	})
-	background.Go(func() { d.watchInstances(life) })
+	background.Go(func() { d.watchInstances(runCtx) })
 	background.Go(func() {
-		d.fetchFromPeers(life)
-		d.watchConfig(life)
+		d.fetchFromPeers(runCtx)
+		d.watchConfig(runCtx)
 	})
 	operators := operatorapi.New(d, d.holder, d.changes, d.metrics, d.token)
 	servers := d.listeners.serve(d.settings, d.callers, operators, d.mesh)
 	d.log.Info().Str("event", "started").Str("zone", d.settings.Zone).Str("version", Version()).
-		Str("callers", d.CallerAddress()).Str("operators", d.OperatorAddress()).Msg("")
+		Str("callers", d.CallerAddress()).Str("operators", d.OperatorAddress()).Msg("instance started")
 	select {
 	case <-ctx.Done():
 	case <-d.drained:
 	}
 	d.shutDown(servers)
-	d.end()
+	d.cancelRun()
 	d.caches.Close()
 	d.mesh.Close()
 	servers.close()
 	d.upstreams.Close()
 	d.platform.Close()
 	background.Wait()
-	d.log.Info().Str("event", "stopped").Msg("")
+	d.log.Info().Str("event", "stopped").Msg("instance stopped")
 }
 
 // Drain begins a graceful shutdown.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drained) }) }
 
-// shutDown refuses new work and waits for what is in flight.
+// shutDown refuses new work and waits for the requests in flight, for at most Drain.Timeout if that
+// is set.
 func (d *Daemon) shutDown(s *servers) {
 	d.gateway.Drain()
 	d.mesh.Announce()
-	d.log.Info().Str("event", "draining").Int("in_flight", d.dispatcher.InFlight()).Msg("")
+	d.log.Info().Str("event", "draining").Int("in_flight", d.dispatcher.InFlight()).Msg("refusing new requests; waiting for those in flight")
 	ctx := context.Background()
 	if t := time.Duration(d.settings.Drain.Timeout); t > 0 {
 		var cancel context.CancelFunc
@@ -287,7 +288,7 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			d.log.Warn().Str("event", "drain_timeout").Int("in_flight", d.dispatcher.InFlight()).Msg("")
+			d.log.Warn().Str("event", "drain_timeout").Int("in_flight", d.dispatcher.InFlight()).Msg("drain timed out; stopping with requests in flight")
 			return
 		}
 	}
@@ -299,7 +300,7 @@
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return "", fmt.Errorf("operators.tokenFile can't be read; name a readable file: %w", err)
+		return "", fmt.Errorf("read operators.tokenFile: name a readable file: %w", err)
 	}
 	token := strings.TrimSpace(string(content))
 	if token == "" {
@@ -308,7 +309,7 @@
 	return token, nil
 }
 
-// Version returns the module's version as built.
+// Version returns the version of the module as built.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -14,7 +14,7 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// watchConfig follows the document at the platform until ctx ends.
+// watchConfig follows the configuration document at the platform until ctx is done.
 func (d *Daemon) watchConfig(ctx context.Context) {
 	d.platform.WatchConfig(ctx, d.settings.Platform.ConfigKey,
 		func(revision int64, content []byte) { d.offerConfig(ctx, revision, content, nil, "platform") },
@@ -23,11 +23,11 @@
 
 func (d *Daemon) recordPlatformError(what string, err error) {
 	d.metrics.Count("tacktally_platform_errors_total")
-	d.log.Warn().Str("event", "platform_unavailable").Str("reading", what).Str("cause", err.Error()).Msg("")
+	d.log.Warn().Str("event", "platform_unavailable").Str("reading", what).Str("cause", err.Error()).Msg("platform read failed; continuing with the known state")
 }
 
-// offer takes a published value from the platform or a peer. Parts that the giver
-// didn't hand over are read from the platform.
+// offerConfig offers a document from the platform or a peer to the holder. Parts that the sender
+// didn't provide are read from the platform.
 func (d *Daemon) offerConfig(ctx context.Context, revision int64, content []byte, parts config.Parts, from string) {
 	accepted, err := d.holder.Offer(time.Now(), revision, content, parts)
 	var missing *config.MissingPartsError
@@ -37,39 +37,40 @@
 	switch {
 	case errors.As(err, &missing):
 		d.metrics.Count("tacktally_config_parts_missing_total")
-		d.log.Error().Str("event", "config_parts_missing").Int64("revision", revision).Str("from", from).Str("cause", err.Error()).Msg("")
+		d.log.Error().Str("event", "config_parts_missing").Int64("revision", revision).Str("from", from).Str("cause", err.Error()).Msg("parts of the configuration are missing; retrying later")
 		go d.retryOffer(revision, content, from)
 	case errors.Is(err, config.ErrOlderRevision):
 		d.metrics.Count("tacktally_config_older_total")
-		d.log.Warn().Str("event", "config_older").Int64("revision", revision).Str("from", from).Msg("")
+		d.log.Warn().Str("event", "config_older").Int64("revision", revision).Str("from", from).Msg("ignored an older configuration")
 	case errors.Is(err, config.ErrConflict):
 		d.metrics.Count("tacktally_config_conflicts_total")
-		d.log.Error().Str("event", "config_conflict").Int64("revision", revision).Str("from", from).Str("cause", err.Error()).Msg("")
+		d.log.Error().Str("event", "config_conflict").Int64("revision", revision).Str("from", from).Str("cause", err.Error()).Msg("ignored a different configuration under the same revision")
 	case err != nil:
 		d.metrics.Count("tacktally_config_rejected_total")
-		d.log.Error().Str("event", "config_rejected").Int64("revision", revision).Str("from", from).Str("cause", err.Error()).Msg("")
+		d.log.Error().Str("event", "config_rejected").Int64("revision", revision).Str("from", from).Str("cause", err.Error()).Msg("rejected an invalid configuration; keeping the current one")
 	case accepted:
 		d.changes.Add(d.holder.Current())
 		d.metrics.Count("tacktally_config_accepted_total")
-		d.log.Info().Str("event", "config_accepted").Int64("revision", revision).Str("from", from).Msg("")
+		d.log.Info().Str("event", "config_accepted").Int64("revision", revision).Str("from", from).Msg("accepted a configuration")
 		d.followCaches()
-		d.mesh.Announce() // peers cut off from the platform fetch it at once
+		d.mesh.Announce() // peers that can't reach the platform fetch it at once
 	}
 }
 
-// partsPause is the time until a document whose parts were missing is tried again.
+// partsRetryDelay is the time until a document with missing parts is offered again.
 const partsRetryDelay = time.Second
 
 func (d *Daemon) retryOffer(revision int64, content []byte, from string) {
-	if wait.For(d.life, partsRetryDelay) && d.holder.Revision() < revision {
-		d.offerConfig(d.life, revision, content, nil, from)
+	if wait.For(d.runCtx, partsRetryDelay) && d.holder.Revision() < revision {
+		d.offerConfig(d.runCtx, revision, content, nil, from)
 	}
 }
 
-// readParts adds parts read from the platform to those at hand.
-func (d *Daemon) fetchParts(ctx context.Context, have config.Parts, wanted []api.PartReference) config.Parts {
+// fetchParts returns the known parts together with the wanted ones, read from the platform. Parts
+// that can't be read are left out.
+func (d *Daemon) fetchParts(ctx context.Context, known config.Parts, wanted []api.PartReference) config.Parts {
 	out := config.Parts{}
-	maps.Copy(out, have)
+	maps.Copy(out, known)
 	for _, r := range wanted {
 		_, content, err := d.platform.Config(ctx, r.Key)
 		if err != nil {
@@ -81,15 +82,15 @@
 	return out
 }
 
-// watchInstances follows the instance list at the platform until ctx ends.
+// watchInstances follows the instance list at the platform until ctx is done.
 func (d *Daemon) watchInstances(ctx context.Context) {
 	d.platform.WatchInstances(ctx, d.applyInstances, func(err error) { d.recordPlatformError("instances", err) })
 }
 
-// refresh reads configuration and list anew, after a pause: from the platform, and
-// from the peers, of which one may know better.
+// refresh reads the configuration and the instance list again after a pause, from the platform and
+// from a peer, either of which may have the newer version. It blocks until all reads have ended.
 func (d *Daemon) refresh(ctx context.Context) {
-	d.log.Warn().Str("event", "woke_from_pause").Msg("")
+	d.log.Warn().Str("event", "woke_from_pause").Msg("the process was paused; refreshing configuration and instance list")
 	d.metrics.Count("tacktally_pauses_total")
 	var reads sync.WaitGroup
 	reads.Go(func() {
@@ -113,14 +114,14 @@
 }
 
 const (
-	// listPatience bounds how long a starting instance waits for the list.
+	// listTimeout bounds how long a starting instance waits for the instance list.
 	listTimeout = 500 * time.Millisecond
-	// peersPatience bounds how long it waits for its peers' configuration.
+	// peersTimeout bounds how long a starting instance waits for its peers' configuration.
 	peersTimeout = time.Second
 )
 
-// askPeers takes over what the peers know, before the platform, which may be
-// stale, is believed.
+// fetchFromPeers fetches the state of the peers before the configuration is read from the platform,
+// which may be stale.
 func (d *Daemon) fetchFromPeers(ctx context.Context) {
 	select {
 	case <-d.instances.first:
@@ -132,7 +133,8 @@
 	d.mesh.FetchAll(ctx)
 }
 
-// useInstances takes a list unless a newer one is in use. It returns once one as new is in use for requests.
+// applyInstances applies a list unless a list of this or a newer version is in use. When it
+// returns, requests are served by a list of at least this version.
 func (d *Daemon) applyInstances(l platform.List) {
 	d.instances.apply(l, func() {
 		d.dispatcher.SetInstances(l.Instances)
@@ -140,11 +142,11 @@
 		d.organisations.SetInstances(countTacktallyInstances(l))
 		d.mesh.SetPeers(peerAddresses(l, d.settings.Peers.Seeds))
 		d.mesh.Announce()
-		d.log.Info().Str("event", "instances").Int64("version", l.Version).Int("count", len(l.Instances)).Msg("")
+		d.log.Info().Str("event", "instances").Int64("version", l.Version).Int("count", len(l.Instances)).Msg("applied a new instance list")
 	})
 }
 
-// followCaches follows the caches of the engines that this instance uses.
+// followCaches follows the cache events of the engines that this instance uses.
 func (d *Daemon) followCaches() {
 	s := d.holder.Current()
 	if s == nil {
@@ -157,15 +159,16 @@
 	d.caches.SetEngines(addresses)
 }
 
-// upstreamLeaving notes that an upstream said itself that it leaves.
+// handleUpstreamLeaving records the leaving notice of an upstream and announces a new one to the
+// peers.
 func (d *Daemon) handleUpstreamLeaving(address string) {
 	if d.instances.addLeavingNotice(address) {
-		d.log.Info().Str("event", "upstream_leaving").Str("upstream", address).Msg("")
+		d.log.Info().Str("event", "upstream_leaving").Str("upstream", address).Msg("the upstream announced that it leaves; it gets no new requests")
 		d.mesh.Announce()
 	}
 }
 
-// systemInstances counts the system's own instances of a list.
+// countTacktallyInstances returns the number of instances of tacktallyd in a list.
 func countTacktallyInstances(l platform.List) int {
 	n := 0
 	for _, i := range l.Instances {
@@ -186,17 +189,18 @@
 	return out
 }
 
-// saidLeavingFor is how long an upstream's own word is passed on to the peers,
-// who may be behind with the list.
+// leavingNoticeTTL is how long a leaving notice is sent to the peers, whose instance list may lag
+// behind.
 const leavingNoticeTTL = time.Minute
 
-// instanceList holds the newest list. Safe for concurrent use.
+// instanceList holds the newest instance list and the leaving notices. It is safe for concurrent
+// use.
 type instanceList struct {
 	mu      sync.Mutex
 	list    platform.List
-	first   chan struct{}        // closed at the first list
-	leaving map[string]time.Time // upstreams that said themselves that they leave
-	// applying holds an element while a list is applied.
+	first   chan struct{}        // closed when the first list is set
+	leaving map[string]time.Time // time of the last leaving notice, by address
+	// applying has capacity 1 and holds an element while a list is applied.
 	applying chan struct{}
 }
 
@@ -212,8 +216,8 @@
 
 func (i *instanceList) version() int64 { return i.current().Version }
 
-// use applies a list that is newer than the one in use. It blocks while another one is being applied: who has read a
-// list relies on what it says.
+// apply calls apply if the list is newer than the one in use. It blocks while another list is being
+// applied, since a caller that has read a list relies on its being in use.
 func (i *instanceList) apply(l platform.List, apply func()) {
 	i.applying <- struct{}{}
 	defer func() { <-i.applying }()
@@ -222,7 +226,7 @@
 	}
 }
 
-// replace takes a list that is newer than the one in use.
+// replace sets the list and returns true if it is newer than the one in use.
 func (i *instanceList) replace(l platform.List) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -236,7 +240,8 @@
 	return true
 }
 
-// sayLeaving returns true when it is news.
+// addLeavingNotice records a leaving notice, and reports whether it is the first one of this
+// upstream.
 func (i *instanceList) addLeavingNotice(address string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -245,6 +250,7 @@
 	return !known
 }
 
+// leavingNotices returns the upstreams with a recent leaving notice, and removes older notices.
 func (i *instanceList) leavingNotices() []string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/daemon/follow_test.go
+++ b/internal/daemon/follow_test.go
@@ -9,29 +9,30 @@
 	"github.com/tacktally/tacktally/internal/platform"
 )
 
-// An instance that woke up read a list that another goroutine had read and not applied yet, went on as if it were in
-// use, and sent a request to an upstream that the list says has left.
-func TestWhoeverReadsAListWaitsUntilItIsInUse(t *testing.T) {
+// After a pause, an instance read a list that another goroutine had read but not yet applied. It
+// continued as if the list were in use, and sent a request to an upstream that had left according
+// to the list.
+func TestApplyingAListWaitsUntilItIsInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		i := newInstanceList()
 		list := platform.List{Version: 3}
 		release := make(chan struct{})
-		inUse, woke := false, false
+		inUse, secondReturned := false, false
 		go i.apply(list, func() {
 			<-release
 			inUse = true
 		})
 		synctest.Wait()
 		go func() {
-			i.apply(list, func() { t.Error("one list is applied twice") })
-			woke = true
+			i.apply(list, func() { t.Error("a list was applied twice") })
+			secondReturned = true
 		}()
 		synctest.Wait()
-		is.True(!woke)
+		is.True(!secondReturned)
 		close(release)
 		synctest.Wait()
 		is.True(inUse)
-		is.True(woke)
+		is.True(secondReturned)
 	})
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -19,12 +19,12 @@
 	operatorMaxHeader = 16 << 10
 )
 
-// listeners are the three of a daemon: for callers, operators and peers.
+// listeners are the listeners of a daemon for callers, operators and peers.
 type listeners struct {
 	callers       net.Listener
 	operators     net.Listener
 	peers         net.Listener
-	peerClientTLS func() *tls.Config // nil for plain links
+	peerClientTLS func() *tls.Config // nil for links without TLS
 }
 
 func (l *listeners) open(s *settings.Settings) error {
@@ -44,7 +44,7 @@
 	return err
 }
 
-// open opens a listener, with TLS where a certificate is set.
+// open opens a listener, with TLS if a certificate is configured.
 func open(setting, address string, t *settings.TLS) (net.Listener, error) {
 	l, err := listen.TCP(setting, address)
 	if err != nil || t == nil {
@@ -88,7 +88,8 @@
 	}
 }
 
-// shutDownCallers closes the callers' listener once their answers are written.
+// shutDownCallers closes the callers' listener and waits until their responses are written or ctx
+// is done.
 func (s *servers) shutDownCallers(ctx context.Context) { _ = s.callers.Shutdown(ctx) }
 
 func (s *servers) close() {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -10,12 +10,12 @@
 	"github.com/tacktally/tacktally/internal/platform"
 )
 
-var errPausedSince = errors.New("the instance was paused since the platform confirmed its revision")
+var errPausedSince = errors.New("the instance was paused after the platform confirmed its revision")
 
 // Snapshot implements orders.Instance.
 func (d *Daemon) Snapshot(ctx context.Context) *config.Snapshot { return d.gateway.Snapshot(ctx) }
 
-// Engines implements orders.Instance: the live members of a set in this zone.
+// Engines implements orders.Instance. It returns the live upstreams of a set in this zone.
 func (d *Daemon) Engines(set string) []string {
 	var out []string
 	for _, i := range d.instances.current().Instances {
@@ -26,8 +26,8 @@
 	return out
 }
 
-// SendsOrders implements orders.Instance: the one of the lowest address among those
-// of the zone that are reachable and don't drain.
+// SendsOrders implements orders.Instance. It reports whether this instance has the lowest address
+// among the reachable instances of the zone that aren't draining.
 func (d *Daemon) SendsOrders() bool {
 	if d.gateway.Draining() {
 		return false
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("%w: %w", orders.ErrNotCurrent, err)
 	}
 	if current != revision || d.holder.Revision() != revision {
-		return nil, fmt.Errorf("%w: it has revision %d, this instance acts on %d", orders.ErrNotCurrent, current, revision)
+		return nil, fmt.Errorf("%w: the platform has revision %d, this instance uses %d", orders.ErrNotCurrent, current, revision)
 	}
 	return func() error {
 		if d.pauses.Generation() != generation {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -13,7 +13,7 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// peerHandler is the daemon as its peers use it.
+// peerHandler implements peer.Handler.
 type peerHandler Daemon
 
 // Serve implements peer.Handler.
@@ -32,12 +32,12 @@
 	l := p.instances.current()
 	s.ListVersion = l.Version
 	if l.Version > 0 {
-		s.List, _ = json.Marshal(l.Instances) // instances always encode
+		s.List, _ = json.Marshal(l.Instances) // a list of instances always encodes
 	}
 	return s
 }
 
-// Fetch implements peer.Handler.
+// FetchRequest implements peer.Handler.
 func (p *peerHandler) FetchRequest() *peer.FetchRequest {
 	if c := p.holder.Current(); c != nil {
 		return &peer.FetchRequest{Parts: c.PartSums()}
@@ -45,11 +45,11 @@
 	return &peer.FetchRequest{}
 }
 
-// Learn implements peer.Handler.
+// MergeState implements peer.Handler.
 func (p *peerHandler) MergeState(from string, _ time.Time, s *peer.State) {
 	d := (*Daemon)(p)
 	if s.Revision > 0 {
-		d.offerConfig(d.life, s.Revision, s.Content, s.Parts, "peer "+from)
+		d.offerConfig(d.runCtx, s.Revision, s.Content, s.Parts, "peer "+from)
 	}
 	if s.ListVersion > 0 {
 		l := platform.List{Version: s.ListVersion}
@@ -74,52 +74,55 @@
 	}
 }
 
-// Heard implements peer.Handler.
+// HandleHeartbeat implements peer.Handler.
 func (p *peerHandler) HandleHeartbeat(from string, h *peer.Heartbeat) {
 	for _, address := range h.Leaving {
 		p.dispatcher.MarkLeaving(address)
 	}
 	p.dispatcher.SetPeerLoad(from, h.Pending)
 	p.organisations.SetPeerDemands(from, h.Demand)
-	p.quarantine.MergeUpdate(time.Now(), h.Quarantine) // all are linked to all: nobody has it from here alone
+	p.quarantine.MergeUpdate(time.Now(), h.Quarantine) // in a full mesh, updates needn't be forwarded
 	if h.Revision > p.holder.Revision() || h.ListVersion > p.instances.version() {
 		p.mesh.ScheduleFetch(from)
 	}
 }
 
-// Pressure implements peer.Handler.
+// HandlePressure implements peer.Handler.
 func (p *peerHandler) HandlePressure(pr peer.Pressure) { p.dispatcher.ShedLower(pr.Set, pr.Rank) }
 
-// Silent implements peer.Handler.
+// PeerLost implements peer.Handler.
 func (p *peerHandler) PeerLost(address string) {
 	p.dispatcher.SetPeerLoad(address, nil)
 	p.organisations.RemovePeer(address)
 }
 
-// pressPatience bounds how long a refusal waits for the peers to shed lower work.
+// pressureTimeout bounds how long a refusal waits for the peers to shed lower work.
 const pressureTimeout = 100 * time.Millisecond
 
-// press lets the peers of the zone shed lower work first.
+// sendPressure asks the peers of the zone to shed lower work first, and blocks for at most
+// pressureTimeout.
 func (d *Daemon) sendPressure(set string, rank int) {
 	ctx, cancel := context.WithTimeout(context.Background(), pressureTimeout)
 	defer cancel()
 	d.mesh.SendPressure(ctx, peer.Pressure{Set: set, Rank: rank})
 }
 
-// ServeSlot implements peer.Handler. Instances of this kind share upstreams by what their
-// heartbeats tell; none is asked for slots.
+// ServeSlot implements peer.Handler. Instances of this kind share upstreams by the load that
+// heartbeats report, and refuse requests for slots.
 func (p *peerHandler) ServeSlot(ctx context.Context, _ *peer.SlotRequest, s *peer.SlotStream) {
 	refusal := peer.SlotRefusal{Reason: string(api.ReasonUnknownService), Detail: "this instance schedules its own requests only"}
 	if err := s.SendRefusal(ctx, refusal); err != nil {
-		p.log.Warn().Str("event", "slot_not_refused").Str("peer", s.Peer).Str("cause", err.Error()).Msg("")
+		p.log.Warn().Str("event", "slot_not_refused").Str("peer", s.Peer).Str("cause", err.Error()).Msg("could not send the refusal of a slot")
 	}
 }
 
-// ServeQuota implements peer.Handler. Instances of this kind divide limits by demand.
+// ServeQuota implements peer.Handler. Instances of this kind divide limits by demand and grant no
+// quotas.
 func (p *peerHandler) ServeQuota(*peer.QuotaRequest) *peer.QuotaReply { return &peer.QuotaReply{} }
 
-// QuotaReturned implements peer.Handler. None were granted.
+// HandleQuotaReturn implements peer.Handler. It does nothing, since no quotas are granted.
 func (p *peerHandler) HandleQuotaReturn(*peer.QuotaReturn) {}
 
-// Unlinked implements peer.Handler. What was told by the peer holds until it is silent.
+// LinkLost implements peer.Handler. It does nothing: what the peer reported stays valid until
+// PeerLost.
 func (p *peerHandler) LinkLost(string) {}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -45,14 +45,14 @@
 
 // Validate implements operatorapi.Instance.
 func (d *Daemon) Validate(ctx context.Context, content []byte) error {
-	var have config.Parts
+	var known config.Parts
 	if c := d.holder.Current(); c != nil {
-		have = c.Parts(nil)
+		known = c.Parts(nil)
 	}
-	_, err := config.Accept(1, content, have)
+	_, err := config.Accept(1, content, known)
 	var missing *config.MissingPartsError
 	if errors.As(err, &missing) {
-		_, err = config.Accept(1, content, d.fetchParts(ctx, have, missing.References))
+		_, err = config.Accept(1, content, d.fetchParts(ctx, known, missing.References))
 	}
 	return err
 }
