--- a/internal/callerapi/server.go
+++ b/internal/callerapi/server.go
@@ -1,11 +1,11 @@
-// Package callerapi is the HTTP interface that callers use.
+// Package callerapi is the HTTP API for callers.
 //
 //	POST /v1/chat/completions, /v1/completions   OpenAI-compatible model requests
-//	GET  /v1/models                              the models served
-//	POST /v1/idempotency-keys                    issued keys, ?count=N of them
+//	GET  /v1/models                              the models that are served
+//	POST /v1/idempotency-keys                    issues keys; ?count=N issues N of them
 //	ANY  /services/NAME/PATH                     calls to plain services
 //
-// Every answer carries its outcome; errors are RFC 9457 problems.
+// Every response carries its outcome. Errors are RFC 9457 problems.
 package callerapi
 
 import (
@@ -30,7 +30,7 @@
 // maxKeysPerCall bounds the keys issued by one call.
 const maxKeysPerCall = 100
 
-// Server is the callers' API. Safe for concurrent use.
+// Server is the API for callers. It is safe for concurrent use.
 type Server struct {
 	gateway  *gateway.Gateway
 	metrics  *telemetry.Metrics
@@ -40,7 +40,7 @@
 	mux      *http.ServeMux
 }
 
-// New returns the callers' API of an instance.
+// New returns the API for the callers of an instance.
 func New(g *gateway.Gateway, m *telemetry.Metrics, s settings.Callers, instance string) *Server {
 	srv := &Server{gateway: g, metrics: m, settings: s, instance: instance, mux: http.NewServeMux()}
 	srv.mux.HandleFunc("POST /v1/chat/completions", srv.serve)
@@ -52,20 +52,20 @@
 	return srv
 }
 
-// InFlight returns how many requests of callers are held.
+// InFlight returns the number of callers' requests in flight.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, h *http.Request) { s.mux.ServeHTTP(w, h) }
 
 func (s *Server) unknownPath(w http.ResponseWriter, h *http.Request) {
-	p := api.Refuse(api.ReasonInvalidRequest, "%s %s is no call of this API; see /v1/chat/completions, /v1/completions, /v1/models, /v1/idempotency-keys and /services/NAME/", h.Method, h.URL.Path)
+	p := api.Refuse(api.ReasonInvalidRequest, "%s %s isn't part of this API; see /v1/chat/completions, /v1/completions, /v1/models, /v1/idempotency-keys and /services/NAME/", h.Method, h.URL.Path)
 	p.Status = http.StatusNotFound
 	s.refuse(w, h, request.NewID(), p)
 }
 
-// refuse counts and writes a refusal made before the gateway was asked. Whether a
-// request under a key ran, only the key's issuer knows.
+// refuse counts and writes a refusal that was made without the gateway. Only the issuer of a key
+// knows whether a request under the key ran.
 func (s *Server) refuse(w http.ResponseWriter, h *http.Request, id string, p *api.Problem) {
 	if h.Header.Get(api.HeaderIdempotencyKey) != "" {
 		p = p.UnderKey()
@@ -96,7 +96,7 @@
 	_ = json.MarshalWrite(w, &c)
 }
 
-// serve serves a model request or a call to a service.
+// serve serves a model request or a call to a service. It blocks until the response is written.
 func (s *Server) serve(w http.ResponseWriter, h *http.Request) {
 	inFlight := int(s.inFlight.Add(1))
 	defer s.inFlight.Add(-1)
@@ -106,7 +106,7 @@
 	}
 	snapshot := s.gateway.Snapshot(h.Context())
 	if snapshot == nil {
-		s.refuse(w, h, request.NewID(), api.Refuse(api.ReasonNoConfiguration, "this instance has no accepted configuration yet; come back shortly").WithRetryAfter(time.Second))
+		s.refuse(w, h, request.NewID(), api.Refuse(api.ReasonNoConfiguration, "this instance has no accepted configuration yet; retry after the given time").WithRetryAfter(time.Second))
 		return
 	}
 	control := http.NewResponseController(w)
@@ -129,21 +129,21 @@
 	out.follow(h.Context(), b)
 }
 
-// hardFactor is how many times callers.maxInFlight requests are read at once, so
-// that their tiers are known, before any is refused unread.
+// hardLimitFactor times callers.maxInFlight requests are decoded at the same time, so that their
+// tiers are known. Requests beyond that are refused without being read.
 const hardLimitFactor = 2
 
 func refuseOverloaded(inFlight int) *api.Problem {
-	return api.Refuse(api.ReasonQueueFull, "this instance holds %d requests; come back later", inFlight-1).WithRetryAfter(time.Second)
+	return api.Refuse(api.ReasonQueueFull, "this instance has %d requests in flight; retry after the given time", inFlight-1).WithRetryAfter(time.Second)
 }
 
-// makeRoom gives up a waiting request of a lower tier for one of a higher.
+// displaceLower sheds a waiting request of a lower tier than r. It returns false if there is none.
 func (s *Server) displaceLower(snapshot *config.Snapshot, r *request.Request) bool {
 	tier, ok := snapshot.Tier(r.Tier)
 	return ok && s.gateway.Displace(tier.Rank)
 }
 
-// models lists the models in OpenAI's form.
+// models lists the models in OpenAI's format.
 func (s *Server) models(w http.ResponseWriter, h *http.Request) {
 	snapshot, _, problem := s.caller(h)
 	if problem != nil {
@@ -169,7 +169,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// KeyList is the answer of POST /v1/idempotency-keys.
+// KeyList is the response to POST /v1/idempotency-keys.
 type KeyList struct {
 	Keys []string `json:"keys"`
 }
@@ -184,7 +184,7 @@
 	if text := h.URL.Query().Get("count"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > maxKeysPerCall {
-			s.refuse(w, h, request.NewID(), api.Refuse(api.ReasonInvalidRequest, "count is %q; ask for 1 to %d keys", text, maxKeysPerCall))
+			s.refuse(w, h, request.NewID(), api.Refuse(api.ReasonInvalidRequest, "count is %q; request 1 to %d keys", text, maxKeysPerCall))
 			return
 		}
 		count = n
@@ -203,10 +203,11 @@
 	writeJSON(w, list)
 }
 
+// caller returns the current configuration and the organisation of the caller.
 func (s *Server) caller(h *http.Request) (*config.Snapshot, *config.Organisation, *api.Problem) {
 	snapshot := s.gateway.Snapshot(h.Context())
 	if snapshot == nil {
-		return nil, nil, api.Refuse(api.ReasonNoConfiguration, "this instance has no accepted configuration yet; come back shortly").WithRetryAfter(time.Second)
+		return nil, nil, api.Refuse(api.ReasonNoConfiguration, "this instance has no accepted configuration yet; retry after the given time").WithRetryAfter(time.Second)
 	}
 	org, problem := request.Authenticate(h, snapshot)
 	return snapshot, org, problem
@@ -217,7 +218,7 @@
 	_ = json.MarshalWrite(w, v)
 }
 
-// writer passes one answer to its caller.
+// writer writes one response to its caller.
 type writer struct {
 	server      *Server
 	response    http.ResponseWriter
@@ -225,11 +226,11 @@
 	request     *request.Request
 	headWritten bool
 	stream      bool
-	// resumed is the event that the caller had last, nil for a new stream.
+	// resumed is the last event that the caller received; nil for a new stream.
 	resumed *upstream.ResumeToken
 }
 
-// follow writes the answer as it is made, until it ends or the caller has gone.
+// follow writes the response as it arrives, until it ends or the caller has disconnected.
 func (w *writer) follow(ctx context.Context, b *answer.Buffer) {
 	reader := b.Reader()
 	for {
@@ -287,8 +288,9 @@
 	return true
 }
 
-// alreadySeen tells an event that the caller had before the one it resumes from.
-// Such events come when a repeat joins a run whose answer is held from its start.
+// alreadyReceived reports whether the caller has received an event before, since it is at or before
+// the one from which the caller resumes. Such events occur when a retry joins a run whose response
+// is retained from its start.
 func (w *writer) alreadyReceived(event []byte) bool {
 	if w.resumed == nil {
 		return false
@@ -299,8 +301,8 @@
 
 func (w *writer) flush() { _ = w.control.Flush() }
 
-// end closes the answer. One that broke off after its head must not look whole:
-// a stream gets an error event, any other has its connection cut.
+// end ends the response. A response that failed after its head must not look complete: a stream
+// gets an error event, any other response has its connection closed.
 func (w *writer) end(e *answer.End) {
 	if e.Problem == nil {
 		w.response.Header().Set(api.HeaderOutcome, string(api.Answered))
@@ -324,7 +326,7 @@
 	w.writeChunk(append(append([]byte("event: error\ndata: "), content...), "\n\n"...))
 }
 
-// errorEvent closes a stream that broke off. OpenAI's clients read the field error.
+// errorEvent ends a stream that failed. OpenAI's clients read the field error.
 type errorEvent struct {
 	Error *api.Problem `json:"error"`
 }
