--- a/internal/operatorapi/explain.go
+++ b/internal/operatorapi/explain.go
@@ -7,7 +7,7 @@
 	"github.com/tacktally/tacktally/internal/config"
 )
 
-// Explanation tells how a request would be served at this instance now.
+// Explanation describes how a request would be served at this instance now.
 type Explanation struct {
 	Revision     int64    `json:"revision"`
 	Organisation string   `json:"organisation"`
@@ -21,8 +21,8 @@
 	Steps        []string `json:"steps"`
 }
 
-// explain answers for ?organisation=, optional tier=, and model= or service=,
-// with method= and path= for a service.
+// explain responds to a query with organisation= and either model= or service=; tier= is optional.
+// For a service, method= and path= may be given.
 func (s *Server) explain(w http.ResponseWriter, h *http.Request) {
 	snapshot := s.holder.Current()
 	if snapshot == nil {
@@ -54,6 +54,7 @@
 	writeJSON(w, e)
 }
 
+// resolve sets the engine set or service that serves the request, and reports whether there is one.
 func (e *Explanation) resolve(s *config.Snapshot, model, service, method, path string) bool {
 	if svc, ok := s.Service(service); ok {
 		e.Set = svc.Name
@@ -82,8 +83,8 @@
 	case e.Upstreams == 0:
 		e.Steps = append(e.Steps, "refused with no_upstream: no upstream of "+e.Set+" is in service in this availability zone")
 	case e.QueuedAhead == 0:
-		e.Steps = append(e.Steps, "sent at once if an upstream has room, to the one with the least predicted cost")
+		e.Steps = append(e.Steps, "sent at once if an upstream has free capacity, to the one with the lowest predicted cost")
 	default:
-		e.Steps = append(e.Steps, strconv.Itoa(e.QueuedAhead)+" requests of this tier or higher wait ahead; it is refused at once if it would be late")
+		e.Steps = append(e.Steps, strconv.Itoa(e.QueuedAhead)+" requests of this tier or higher are queued ahead; it is refused at once if it is predicted to be late")
 	}
 }
--- a/internal/operatorapi/server.go
+++ b/internal/operatorapi/server.go
@@ -1,14 +1,13 @@
-// Package operatorapi is the HTTP interface that operators use. It reads,
-// watches, explains and checks; it never stores, because configuration is
-// published at the platform.
+// Package operatorapi is the HTTP API for operators. It reads, watches, explains and validates. It
+// doesn't store anything, since the configuration is published at the platform.
 //
-//	GET  /v1/resources/KIND            list with status
-//	GET  /v1/resources/KIND/NAME       one
+//	GET  /v1/resources/KIND            resources of a kind with their status
+//	GET  /v1/resources/KIND/NAME       one resource
 //	GET  /v1/watch?kind=KIND&after=REV changes as JSON lines
-//	POST /v1/validate                  what an instance would say to a document
+//	POST /v1/validate                  whether an instance would accept a document
 //	GET  /v1/explain?...               how a request would be served now
-//	GET  /v1/status                    this instance
-//	POST /v1/drain                     begin a graceful shutdown
+//	GET  /v1/status                    status of this instance
+//	POST /v1/drain                     begins a graceful shutdown
 //	GET  /metrics, /healthz, /readyz
 package operatorapi
 
@@ -33,22 +32,22 @@
 	"github.com/tacktally/tacktally/internal/watch"
 )
 
-// Instance is what the API shows of the daemon it belongs to.
+// Instance is the daemon as this API uses it.
 type Instance interface {
-	// Status of the instance now.
+	// Status returns the current status of the instance.
 	Status() Status
-	// Upstreams of a set or service, as this instance knows them.
+	// Upstreams returns the upstreams of a set or service, as this instance knows them.
 	Upstreams(set string) []pool.UpstreamStatus
-	// Queued work of a set or service by rank.
+	// Queued returns the number of queued requests of a set or service by rank.
 	Queued(set string, ranks int) []int
-	// Validate accepts a document without putting it in force; its parts are read from
-	// the platform.
+	// Validate reports as an error why a document wouldn't be accepted. It doesn't apply the
+	// document, and reads its parts from the platform.
 	Validate(ctx context.Context, content []byte) error
 	// Drain begins a graceful shutdown.
 	Drain()
 }
 
-// Status of an instance.
+// Status is the status of an instance.
 type Status struct {
 	Address     string            `json:"address"`
 	Zone        string            `json:"zone"`
@@ -65,7 +64,7 @@
 	Peers       []peer.Status     `json:"peers"`
 }
 
-// Server is the operators' API. Safe for concurrent use.
+// Server is the API for operators. It is safe for concurrent use.
 type Server struct {
 	instance Instance
 	holder   *config.Holder
@@ -75,7 +74,7 @@
 	mux      *http.ServeMux
 }
 
-// New returns the operators' API. An empty token lets everyone in.
+// New returns the API for operators. With an empty token, requests aren't authenticated.
 func New(i Instance, h *config.Holder, l *watch.Log, m *telemetry.Metrics, token string) *Server {
 	s := &Server{instance: i, holder: h, log: l, metrics: m, token: token, mux: http.NewServeMux()}
 	s.mux.HandleFunc("GET /v1/resources/{kind}", s.list)
@@ -128,13 +127,14 @@
 	Status   ResourceStatus `json:"status"`
 }
 
-// ResourceStatus tells where a resource is in force, and what serves it.
+// ResourceStatus is where a resource is in force, and which upstreams serve it.
 type ResourceStatus struct {
-	// Since it is in force at this instance.
+	// Since is when the current configuration came into force at this instance.
 	Since time.Time `json:"since"`
-	// Instances by the revision they told last.
+	// Instances are the reachable instances with the revisions that they reported last.
 	Instances []InstanceRevision `json:"instances"`
-	// Upstreams of an engine set or service, and its queue by tier rank.
+	// Upstreams are the upstreams of an engine set or service, and Queued is the length of its
+	// queue by tier rank.
 	Upstreams []pool.UpstreamStatus `json:"upstreams,omitempty"`
 	Queued    []int                 `json:"queued,omitempty"`
 }
@@ -146,7 +146,7 @@
 	InForce  bool   `json:"inForce"`
 }
 
-// ResourceList is the answer of a list. Watch from its revision.
+// ResourceList is the response to a list request. A watch after its revision continues from it.
 type ResourceList struct {
 	Revision int64      `json:"revision"`
 	Items    []Resource `json:"items"`
@@ -177,7 +177,7 @@
 func (s *Server) resources(w http.ResponseWriter, h *http.Request) (*config.Snapshot, []Resource, bool) {
 	kind, ok := parseKind(h.PathValue("kind"))
 	if !ok {
-		fail(w, http.StatusNotFound, "no kind is named "+strconv.Quote(h.PathValue("kind"))+"; use Organisation, Tier, EngineSet or Service")
+		fail(w, http.StatusNotFound, "there is no kind named "+strconv.Quote(h.PathValue("kind"))+"; use Organisation, Tier, EngineSet or Service")
 		return nil, nil, false
 	}
 	snapshot, since, _ := s.holder.Status()
@@ -248,13 +248,13 @@
 	return Resource{Kind: kind, Metadata: m, Revision: l.snapshot.Revision, Spec: spec, Status: status}
 }
 
-// watch writes one JSON line a change, from the revision after on.
+// watch writes one JSON line for each change after the given revision.
 func (s *Server) watch(w http.ResponseWriter, h *http.Request) {
 	var kind api.Kind
 	if text := h.URL.Query().Get("kind"); text != "" {
 		k, ok := parseKind(text)
 		if !ok {
-			fail(w, http.StatusNotFound, "no kind is named "+strconv.Quote(text)+"; use Organisation, Tier, EngineSet or Service")
+			fail(w, http.StatusNotFound, "there is no kind named "+strconv.Quote(text)+"; use Organisation, Tier, EngineSet or Service")
 			return
 		}
 		kind = k
@@ -263,7 +263,7 @@
 	if text := h.URL.Query().Get("after"); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			fail(w, http.StatusBadRequest, "after is "+strconv.Quote(text)+"; give the revision of a list")
+			fail(w, http.StatusBadRequest, "after is "+strconv.Quote(text)+"; use the revision of a list")
 			return
 		}
 		after = n
@@ -298,7 +298,7 @@
 	}
 }
 
-// Validation is the answer of POST /v1/validate.
+// Validation is the response to POST /v1/validate.
 type Validation struct {
 	Accepted bool                `json:"accepted"`
 	Faults   []config.FieldError `json:"faults,omitempty"`
@@ -307,7 +307,7 @@
 func (s *Server) validate(w http.ResponseWriter, h *http.Request) {
 	content, err := io.ReadAll(io.LimitReader(h.Body, config.MaxDocumentBytes+1))
 	if err != nil {
-		fail(w, http.StatusBadRequest, "the document could not be read whole; send it again")
+		fail(w, http.StatusBadRequest, "the document could not be read completely; send it again")
 		return
 	}
 	err = s.instance.Validate(h.Context(), content)
