--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,13 +1,13 @@
-// Package platform reads what the platform publishes: the configuration document
-// and the list of instances. It never writes.
+// Package platform reads what the platform publishes: the configuration document and the instance
+// list. It never writes.
 //
-// The service's protocol, as the stand-in in internal/standin/platform speaks it:
+// Protocol of the platform's service, as implemented by the fake in internal/standin/platform:
 //
-//	GET /v1/config/KEY                      the value now
-//	GET /v1/config/KEY?after=REV&wait=SECS  the value once it differs from REV, or 304
+//	GET /v1/config/KEY                      returns the current value
+//	GET /v1/config/KEY?after=REV&wait=SECS  returns the value once its revision differs from REV, or 304
 //	GET /v1/instances[?after=VERSION&wait=SECS]  the same for the instance list
 //
-// A value comes with its revision in the header Revision.
+// The header Revision carries the revision of the value.
 package platform
 
 import (
@@ -28,22 +28,22 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// HeaderRevision carries a value's revision.
+// HeaderRevision carries the revision of a value.
 const HeaderRevision = "Revision"
 
 const (
 	maxValueBytes = 1 << 20
-	// watchSlack is what a watch may take beyond its waiting time. A connection that went silent
-	// without a reset is noticed by that alone.
+	// watchTimeoutMargin is the time that a watch may take in addition to its waiting time. It is
+	// the only way in which a connection that went silent without a reset is detected.
 	watchTimeoutMargin = time.Second
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the opening of a connection.
 	dialTimeout = time.Second
-	// firstBackoff and maxBackoff bound the pause after a failed call.
+	// firstBackoff and maxBackoff bound the retry delay after a failed call.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 5 * time.Second
 )
 
-// State of an instance in the list.
+// State is the state of an instance in the list.
 type State string
 
 // The states.
@@ -52,38 +52,37 @@
 	Leaving State = "leaving"
 )
 
-// Instance is an entry of the platform's list: an instance of the system or an
-// upstream.
+// Instance is an entry of the platform's list: an instance of tacktallyd or an upstream.
 type Instance struct {
-	// Address as IP:port: the peer address of an instance of the system, or
-	// where an upstream serves.
+	// Address is an IP:port: the peer address of an instance of tacktallyd, or the address at which
+	// an upstream serves.
 	Address string `json:"address"`
 	// Zone is its availability zone.
 	Zone string `json:"zone"`
-	// Set is the engine set or service an upstream belongs to; empty for an
-	// instance of the system.
+	// Set is the engine set or service that an upstream belongs to; empty for an instance of
+	// tacktallyd.
 	Set string `json:"set,omitzero"`
 	// State is live or leaving.
 	State State `json:"state"`
 }
 
-// List is the instance list under a version.
+// List is the instance list with its version.
 type List struct {
 	Version   int64
 	Instances []Instance
 }
 
-// ErrUnavailable: the service didn't answer as it should.
-var ErrUnavailable = errors.New("the platform's service is unavailable; serving goes on with what is known")
+// ErrUnavailable: the platform's service didn't respond as expected.
+var ErrUnavailable = errors.New("the platform's service is unavailable; serving continues with the known state")
 
-// Client reads the platform's service. Safe for concurrent use.
+// Client reads from the platform's service. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 	base string
 	wait time.Duration
 }
 
-// NewClient returns a client. Wait is how long one watch call waits.
+// NewClient returns a client. Wait is the time for which one watch call waits for a change.
 func NewClient(base string, wait time.Duration) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepalive.Config(), Control: keepalive.Control}).DialContext,
@@ -95,14 +94,14 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// params of a watch.
+// params are the query parameters of a watch.
 type params struct {
 	After int64 `url:"after,omitempty"`
 	Wait  int64 `url:"wait,omitempty"`
 }
 
-// get reads a value. With after set, it waits until the value has another
-// revision, and returns a nil content when it stays the same.
+// get reads a value. If wait is positive, it blocks until the revision of the value differs from
+// after or wait has passed; in the latter case, content is nil.
 func (c *Client) get(ctx context.Context, path string, after int64, wait time.Duration) (revision int64, content []byte, err error) {
 	s := sling.New().Base(c.base).Get(path)
 	if wait > 0 {
@@ -121,11 +120,11 @@
 		return after, nil, nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, nil, fmt.Errorf("%w: it answered %s to %s", ErrUnavailable, response.Status, path)
+		return 0, nil, fmt.Errorf("%w: status %s for %s", ErrUnavailable, response.Status, path)
 	}
 	revision, err = strconv.ParseInt(response.Header.Get(HeaderRevision), 10, 64)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: no revision with %s", ErrUnavailable, path)
+		return 0, nil, fmt.Errorf("%w: no revision for %s", ErrUnavailable, path)
 	}
 	content, err = io.ReadAll(io.LimitReader(response.Body, maxValueBytes+1))
 	if err != nil {
@@ -134,7 +133,7 @@
 	return revision, content, nil
 }
 
-// Instances reads the instance list now.
+// Instances reads the current instance list.
 func (c *Client) Instances(ctx context.Context) (List, error) {
 	revision, content, err := c.get(ctx, "/v1/instances", 0, 0)
 	if err != nil {
@@ -143,7 +142,7 @@
 	return decodeList(revision, content)
 }
 
-// Config reads the value of key now.
+// Config reads the current value of key.
 func (c *Client) Config(ctx context.Context, key string) (revision int64, content []byte, err error) {
 	return c.get(ctx, "/v1/config/"+key, 0, 0)
 }
@@ -151,18 +150,19 @@
 func decodeList(version int64, content []byte) (List, error) {
 	l := List{Version: version}
 	if err := json.Unmarshal(content, &l.Instances); err != nil {
-		return l, fmt.Errorf("%w: the instance list is not readable: %w", ErrUnavailable, err)
+		return l, fmt.Errorf("%w: decode the instance list: %w", ErrUnavailable, err)
 	}
 	return l, nil
 }
 
-// WatchConfig calls f with the value of key, at once and at each change, until
-// ctx ends. Failures go to onError, and the watch goes on.
+// WatchConfig calls f with the value of key, at once and after each change, until ctx is done. It
+// blocks until then. Errors are passed to onError, and the watch continues.
 func (c *Client) WatchConfig(ctx context.Context, key string, f func(revision int64, content []byte), onError func(error)) {
 	c.watch(ctx, "/v1/config/"+key, f, onError)
 }
 
-// WatchInstances calls f with the list, at once and at each change, until ctx ends.
+// WatchInstances calls f with the instance list, at once and after each change, until ctx is done.
+// It blocks until then. Errors are passed to onError, and the watch continues.
 func (c *Client) WatchInstances(ctx context.Context, f func(List), onError func(error)) {
 	c.watch(ctx, "/v1/instances", func(version int64, content []byte) {
 		l, err := decodeList(version, content)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -13,8 +13,9 @@
 	"github.com/tacktally/tacktally/internal/settings"
 )
 
-// A watch whose connection went silent is given up, and the next one brings what it missed.
-func TestASilentWatchIsFollowedByAnother(t *testing.T) {
+// A watch whose connection went silent times out, and the next one delivers the change that it
+// missed.
+func TestWatchContinuesAfterASilentConnection(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,15 +39,15 @@
 	go c.WatchInstances(ctx, func(l List) { versions <- l.Version }, func(err error) { failed <- err })
 	is.Equal(<-versions, int64(1))
 	is.Equal(<-versions, int64(2))
-	is.Equal(len(failed), 1) // the silent one
+	is.Equal(len(failed), 1) // the silent connection
 }
 
-// What is published is to be in force within 4 s, also where a watch went silent and no peer
-// knows better.
-func TestByDefaultASilentWatchIsGivenUpInTime(t *testing.T) {
+// A published change must be in force within 4 s, also if a watch went silent and no peer has the
+// change.
+func TestDefaultWatchTimeoutIsWithinTheBound(t *testing.T) {
 	var s settings.Settings
 	s.Provision()
 	if bound := time.Duration(s.Platform.Wait) + watchTimeoutMargin; bound > 4*time.Second {
-		t.Errorf("a silent watch is waited on for %v", bound)
+		t.Errorf("a silent watch times out only after %v", bound)
 	}
 }
