--- a/internal/pause/gate.go
+++ b/internal/pause/gate.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// Gate makes work wait, after a pause, until what the process believed before
-// has been read anew. Safe for concurrent use.
+// Gate blocks work after a pause until the state of the process has been refreshed. It is safe for
+// concurrent use.
 type Gate struct {
-	// Detector notices the pauses.
+	// Detector detects the pauses.
 	Detector *Detector
-	// Refresh reads anew; it is called once for each pause.
+	// Refresh reads the state again. It is called once for each pause, and must return when ctx is
+	// done.
 	Refresh func(ctx context.Context)
-	// RefreshTimeout bounds a refresh; afterwards serving goes on with what is known.
+	// RefreshTimeout bounds a refresh. After it, serving continues with the known state.
 	RefreshTimeout time.Duration
 
 	mu         sync.Mutex
 	generation uint64
 }
 
-// EnsureFresh returns at once unless there was a pause since the last refresh.
+// EnsureFresh returns at once unless there was a pause since the last refresh. After a pause, it
+// blocks until a refresh has ended.
 func (g *Gate) EnsureFresh(ctx context.Context) {
 	generation := g.Detector.Generation()
 	g.mu.Lock()
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,8 +1,8 @@
-// Package pause notices that the process was stopped for a while: frozen,
-// swapped out, or starved of the processor.
+// Package pause detects that the process was stopped for a while: frozen, swapped out, or starved
+// of processor time.
 //
-// A Detector counts wake-ups in an epoch. What was decided under an older epoch
-// must be checked afresh before it is acted on.
+// A Detector counts the pauses in a generation number. A decision that was made under an older
+// generation must be checked again before it is acted on.
 package pause
 
 import (
@@ -14,24 +14,24 @@
 )
 
 const (
-	// Threshold is the silence that counts as a pause.
+	// Threshold is the gap between two signs of life that counts as a pause.
 	Threshold = time.Second
-	// tick is how often a running process shows itself alive.
+	// heartbeatInterval is the time between two signs of life of a running process.
 	heartbeatInterval = 100 * time.Millisecond
 )
 
-// Detector notices pauses. Safe for concurrent use.
+// Detector detects pauses. It is safe for concurrent use.
 type Detector struct {
 	mu         sync.Mutex
 	last       time.Time
 	generation uint64
 }
 
-// NewDetector returns a detector that has just seen the process alive.
+// NewDetector returns a detector that has just seen a sign of life.
 func NewDetector() *Detector { return &Detector{last: boottime.Now()} }
 
-// Generation checks for a pause up to this moment and returns the number of pauses so
-// far. Whichever goroutine runs first after a wake-up notices it.
+// Generation checks for a pause until now, counts as a sign of life, and returns the number of
+// pauses so far. The first goroutine that calls it after a pause detects the pause.
 func (d *Detector) Generation() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +44,7 @@
 	return d.generation
 }
 
-// Run shows the process alive until ctx ends.
+// Run gives a sign of life in each heartbeatInterval, until ctx is done.
 func (d *Detector) Run(ctx context.Context) {
 	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -9,43 +9,42 @@
 	"github.com/matryer/is"
 )
 
-// pass lets virtual time go by.
-func pass(d time.Duration) { <-time.After(d) }
+// sleep lets virtual time pass.
+func sleep(d time.Duration) { <-time.After(d) }
 
-func TestPausesAreCounted(t *testing.T) {
+func TestPausesAreCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := NewDetector()
 		ctx, cancel := context.WithCancel(t.Context())
 		go d.Run(ctx)
-		pass(10 * time.Second) // alive all the time
+		sleep(10 * time.Second) // Run gives signs of life
 		is.Equal(d.Generation(), uint64(0))
 		cancel()
 		synctest.Wait()
-		pass(Threshold + time.Millisecond) // nobody shows it alive
+		sleep(Threshold + time.Millisecond) // no sign of life
 		is.Equal(d.Generation(), uint64(1))
 		is.Equal(d.Generation(), uint64(1)) // counted once
 	})
 }
 
-// After a pause the first to pass reads anew, and no other does again; a refresh that
-// takes too long is given up.
+// After a pause, only the first EnsureFresh refreshes. A refresh that takes too long is cancelled.
 func TestGateRefreshesOnceAfterAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		refreshes := 0
 		g := &Gate{Detector: NewDetector(), RefreshTimeout: time.Second, Refresh: func(ctx context.Context) {
 			refreshes++
-			<-ctx.Done() // the platform doesn't answer
+			<-ctx.Done() // the platform doesn't respond
 		}}
 		g.EnsureFresh(t.Context())
 		is.Equal(refreshes, 0)
-		pass(2 * time.Second)
-		begun := time.Now()
+		sleep(2 * time.Second)
+		started := time.Now()
 		for range 5 {
 			g.EnsureFresh(t.Context())
 		}
 		is.Equal(refreshes, 1)
-		is.Equal(time.Since(begun), time.Second) // virtual time
+		is.Equal(time.Since(started), time.Second) // virtual time
 	})
 }
