--- a/internal/cacheevents/cacheevents.go
+++ b/internal/cacheevents/cacheevents.go
@@ -1,12 +1,12 @@
-// Package cacheevents follows what engines tell of their prefix caches.
+// Package cacheevents follows the changes that engines report of their prefix caches.
 //
-// The engines' protocol, as the stand-in in internal/standin/engine speaks it:
+// Protocol of the engines, as implemented by the fake in internal/standin/engine:
 //
-//	GET /v1/cache-events?after=N&wait=SECS   events after number N, at once or
-//	                                         when there are any, as a Batch
+//	GET /v1/cache-events?after=N&wait=SECS   returns the events after number N as a Batch, at once
+//	                                         or when there are any
 //
-// Events come late and with gaps, so they are hints: a wrong one costs a prompt
-// read again, never a wrong answer.
+// Events arrive late and with gaps, so they are hints: a wrong one costs the prefill of a prompt
+// that was cached, and never leads to a wrong response.
 package cacheevents
 
 import (
@@ -24,38 +24,39 @@
 )
 
 const (
-	// longPoll is how long one call waits for events, and slack what it may take more.
+	// longPollWait is the time for which one call waits for events, and timeoutMargin is the time
+	// that it may take in addition.
 	longPollWait  = 20 * time.Second
 	timeoutMargin = 5 * time.Second
-	// pauseBetween bounds how often one engine is asked.
+	// minPollInterval is the time between two calls to the same engine.
 	minPollInterval = 100 * time.Millisecond
 	firstBackoff    = time.Second
 	maxBackoff      = time.Minute
 	maxBytes        = 4 << 20
 )
 
-// Event is a change of an engine's cache. Blocks are the sums of package prefix.
+// Event is a change of an engine's cache. Blocks are prefix hashes as in package prefix.
 type Event struct {
 	Number  int64    `json:"number"`
 	Added   []uint64 `json:"added"`
 	Dropped []uint64 `json:"dropped"`
 }
 
-// Batch is the answer to one call. Last is the number of the newest event.
+// Batch is the response to one call. Last is the number of the newest event.
 type Batch struct {
 	Last   int64   `json:"last"`
 	Events []Event `json:"events"`
 }
 
-// Sink takes the events. It must not block for long.
+// Sink receives the events. Its methods must not block for long.
 type Sink interface {
-	// CacheEvent takes one event of an engine.
+	// CacheEvent is called for each event of an engine.
 	CacheEvent(address string, added, dropped []uint64)
-	// CacheCleared is called when an engine has begun anew.
+	// CacheCleared is called when an engine has restarted with an empty cache.
 	CacheCleared(address string)
 }
 
-// Follower follows the engines that it is told of. Safe for concurrent use.
+// Follower follows the cache events of a set of engines. It is safe for concurrent use.
 type Follower struct {
 	sink   Sink
 	http   *http.Client
@@ -67,7 +68,7 @@
 	stops map[string]context.CancelFunc
 }
 
-// NewFollower returns a follower of no engines. Close ends it.
+// NewFollower returns a follower without engines. Close stops it.
 func NewFollower(sink Sink) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Follower{
@@ -79,14 +80,14 @@
 	}
 }
 
-// Close ends all calls.
+// Close cancels all calls and blocks until they have ended.
 func (f *Follower) Close() {
 	f.cancel()
 	f.wg.Wait()
 	f.http.CloseIdleConnections()
 }
 
-// SetEngines replaces the list of engines.
+// SetEngines replaces the set of engines to follow.
 func (f *Follower) SetEngines(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// follow asks one engine again and again until ctx ends.
+// follow polls one engine until ctx is done.
 func (f *Follower) follow(ctx context.Context, address string) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = firstBackoff
@@ -120,7 +121,7 @@
 		batch, err := f.poll(ctx, address, after)
 		next := minPollInterval
 		if err != nil {
-			next = retry.NextBackOff() // an engine need not publish events
+			next = retry.NextBackOff() // engines needn't publish events
 		} else {
 			retry.Reset()
 			after = f.apply(address, after, batch)
@@ -129,6 +130,8 @@
 	}
 }
 
+// apply passes the events of a batch to the sink, and returns the number after which to poll next.
+// A lower number than before means that the engine has restarted.
 func (f *Follower) apply(address string, after int64, b Batch) int64 {
 	if b.Last < after {
 		f.sink.CacheCleared(address)
@@ -145,6 +148,7 @@
 	Wait  int64 `url:"wait"`
 }
 
+// poll calls the engine once. It blocks for at most longPollWait plus timeoutMargin.
 func (f *Follower) poll(ctx context.Context, address string, after int64) (b Batch, err error) {
 	h, err := sling.New().Base("http://" + address).Get("/v1/cache-events").
 		QueryStruct(params{After: after, Wait: int64(longPollWait / time.Second)}).Request()
@@ -157,7 +161,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return b, fmt.Errorf("engine %s answered %s to a call for cache events", address, response.Status)
+		return b, fmt.Errorf("poll cache events of engine %s: status %s", address, response.Status)
 	}
 	return b, json.UnmarshalRead(http.MaxBytesReader(nil, response.Body, maxBytes), &b)
 }
