--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -225,8 +225,8 @@
 func (d *Daemon) OperatorAddress() string { return d.listeners.operators.Addr().String() }
 
 // Run serves until ctx is done or an operator drains the instance, and then shuts down gracefully:
-// it refuses new work with a retry delay, finishes the requests in flight, announces the shutdown
-// to its peers, and returns.
+// it refuses new work with a retry delay, announces the shutdown to its peers, finishes the
+// requests in flight, and returns.
 func (d *Daemon) Run(ctx context.Context) {
 	runCtx := d.runCtx
 	defer d.cancelRun()
@@ -279,10 +279,11 @@
 	s.shutDownCallers(ctx)
 }
 
-const idlePoll = 10 * time.Millisecond
+const idlePollInterval = 10 * time.Millisecond
 
+// waitIdle blocks until no request is in flight or ctx is done.
 func (d *Daemon) waitIdle(ctx context.Context) {
-	t := time.NewTicker(idlePoll)
+	t := time.NewTicker(idlePollInterval)
 	defer t.Stop()
 	for d.dispatcher.InFlight() > 0 || d.callers.InFlight() > 0 {
 		select {
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// checkBeforeWrite is called right before the first byte is written. It returns an error if the
-// process was paused since the grant was requested, if the deadline has passed, or if the request
-// is quarantined.
+// checkBeforeWrite is called before the first byte is written. It returns an error if the process
+// was paused since the grant was requested, if the deadline has passed, or if the request is
+// quarantined.
 func (a *attempts) checkBeforeWrite() error {
 	if a.dispatcher.o.Gate.Detector.Generation() != a.generation {
 		return errPaused
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -24,7 +24,7 @@
 
 // No byte is written on a grant that was requested before a pause, after the deadline, or once the
 // request is quarantined.
-func TestNothingIsWrittenAfterAPauseADeadlineOrAQuarantine(t *testing.T) {
+func TestNoWriteAfterPauseDeadlineOrQuarantine(t *testing.T) {
 	for name, c := range map[string]struct {
 		since time.Duration // between the request for the grant and the write
 		alive bool          // the pause detector runs meanwhile
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -66,7 +66,7 @@
 	// Subset is the approximate number of upstreams used of a set that has more.
 	Subset           int
 	Limits           queue.Limits
-	RetryBudgetShare float64 // retries allowed per request
+	RetryBudgetShare float64 // share of the first attempts that may be retried
 	Client           *upstream.Client
 	Metrics          *telemetry.Metrics
 	Log              *log.Logger
--- a/internal/request/decode.go
+++ b/internal/request/decode.go
@@ -228,7 +228,7 @@
 	name, path, _ := strings.Cut(strings.TrimPrefix(h.URL.Path, ServicePrefix), "/")
 	svc, ok := s.Service(name)
 	if !ok {
-		return api.Refuse(api.ReasonUnknownService, "no service is named %q; ask your operator which are declared", name)
+		return api.Refuse(api.ReasonUnknownService, "no service named %q is declared; ask your operator which services are available", name)
 	}
 	if !serviceMethods[r.Method] {
 		return api.Refuse(api.ReasonInvalidRequest, "method %s isn't forwarded to services; use GET, HEAD, POST, PUT, PATCH or DELETE", r.Method)
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -50,7 +50,7 @@
 	// Key is an issued key or a caller-chosen ID. Attempt only matters for a caller-chosen ID.
 	Key     string  `cbor:"7,keyasint,omitempty"`
 	Attempt Attempt `cbor:"8,keyasint,omitempty"`
-	// JoinOnly requests only the response of an earlier attempt; Body is empty.
+	// JoinOnly limits the request to the response of an earlier attempt; Body is empty.
 	JoinOnly bool `cbor:"9,keyasint,omitempty"`
 	// Fingerprint is a hash of everything that affects what an upstream does.
 	Fingerprint idempotency.Fingerprint `cbor:"10,keyasint"`
