--- a/api/problem.go
+++ b/api/problem.go
@@ -59,22 +59,22 @@
 	return newProblem(NotRun, r, fmt.Sprintf(format, args...))
 }
 
-// LeaveUnknown builds a Problem with outcome unknown.
-func LeaveUnknown(r Reason, format string, args ...any) *Problem {
+// UnknownOutcome builds a Problem with outcome unknown.
+func UnknownOutcome(r Reason, format string, args ...any) *Problem {
 	return newProblem(Unknown, r, fmt.Sprintf(format, args...))
 }
 
-// ForAttempt returns a copy that says this attempt was not run.
-func (p *Problem) ForAttempt() *Problem {
+// WithAttemptNotRun returns a copy that says this attempt was not run.
+func (p *Problem) WithAttemptNotRun() *Problem {
 	c := *p
 	c.AttemptOutcome = NotRun
 	return &c
 }
 
-// UnderKey words a refusal that was made without asking the issuer of the key that
+// WithUnknownOutcome words a refusal that was made without asking the issuer of the key that
 // the request came with: this attempt didn't run, but another may have.
-func (p *Problem) UnderKey() *Problem {
-	c := p.ForAttempt()
+func (p *Problem) WithUnknownOutcome() *Problem {
+	c := p.WithAttemptNotRun()
 	c.Outcome = Unknown
 	return c
 }
--- a/client/client.go
+++ b/client/client.go
@@ -27,8 +27,8 @@
 const (
 	DefaultKeysInHand  = 8
 	DefaultMaxAttempts = 4
-	// retryPause is waited where an answer names no time to come back.
-	retryPause = 200 * time.Millisecond
+	// defaultRetryDelay is waited where an answer names no time to come back.
+	defaultRetryDelay = 200 * time.Millisecond
 )
 
 // Options of a Client.
@@ -131,9 +131,9 @@
 				return result, nil
 			}
 		}
-		pause, again := s.judge(err)
+		pause, again := s.handleFailure(err)
 		if !again || !wait.For(ctx, pause) {
-			return nil, s.failed(ctx)
+			return nil, s.newError(ctx)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	err       error
 }
 
-func (s *requestState) failed(ctx context.Context) *Error {
+func (s *requestState) newError(ctx context.Context) *Error {
 	e := &Error{Outcome: api.NotRun, Problem: s.problem, Err: s.err, Attempts: s.attempts}
 	if e.Err == nil {
 		e.Err = ctx.Err()
@@ -166,7 +166,7 @@
 // finish gives back a key that was never used.
 func (s *requestState) finish() {
 	if s.key != "" && !s.used {
-		s.client.putKey(s.key)
+		s.client.releaseKey(s.key)
 	}
 }
 
@@ -174,7 +174,7 @@
 func (s *requestState) attempt(ctx context.Context) (*http.Response, error) {
 	s.attempts++
 	if s.request.NonIdempotent && s.key == "" {
-		key, err := s.client.takeKey(ctx)
+		key, err := s.client.acquireKey(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -265,16 +265,16 @@
 	return &p
 }
 
-// judge decides after a failed attempt whether to send again, and when.
-func (s *requestState) judge(err error) (pause time.Duration, again bool) {
-	pause = retryPause
+// handleFailure decides after a failed attempt whether to send again, and when.
+func (s *requestState) handleFailure(err error) (pause time.Duration, again bool) {
+	pause = defaultRetryDelay
 	var p *api.Problem
 	if errors.As(err, &p) {
 		s.problem, s.err = p, nil
 		if p.RetryAfterSeconds > 0 {
 			pause = time.Duration(p.RetryAfterSeconds) * time.Second
 		}
-		again = s.judgeProblem(p)
+		again = s.handleProblem(p)
 	} else {
 		s.err = err
 		again = true // the same key, so that it joins an earlier attempt
@@ -282,7 +282,7 @@
 	return pause, again && s.attempts < s.client.o.MaxAttempts
 }
 
-func (s *requestState) judgeProblem(p *api.Problem) bool {
+func (s *requestState) handleProblem(p *api.Problem) bool {
 	switch {
 	case p.Reason == api.ReasonKeyRequired && p.IdempotencyKey != "":
 		s.request.NonIdempotent = true // the operator declared it so
@@ -308,8 +308,8 @@
 	return p.Reason == api.ReasonIssuerUnreachable
 }
 
-// takeKey returns an issued key, and fetches more when none is in hand.
-func (c *Client) takeKey(ctx context.Context) (string, error) {
+// acquireKey returns an issued key, and fetches more when none is in hand.
+func (c *Client) acquireKey(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	if n := len(c.keys); n > 0 {
 		key := c.keys[n-1]
@@ -328,7 +328,7 @@
 	return keys[0], nil
 }
 
-func (c *Client) putKey(key string) {
+func (c *Client) releaseKey(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keys = append(c.keys, key)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -198,12 +198,12 @@
 	}{
 		"not-run takes a new key":                      {true, []*api.Problem{wait(api.Refuse(api.ReasonQueueFull, "full")), nil}, api.Answered, 2, 2},
 		"not-run without a time to come back ends":     {true, []*api.Problem{api.Refuse(api.ReasonPromptTooLong, "long")}, api.NotRun, 1, 1},
-		"unknown ends a non-idempotent":                {true, []*api.Problem{api.LeaveUnknown(api.ReasonUpstreamLost, "lost"), nil}, api.Unknown, 1, 1},
-		"unknown repeats an idempotent":                {false, []*api.Problem{api.LeaveUnknown(api.ReasonUpstreamLost, "lost"), nil}, api.Answered, 2, 0},
-		"issuer unreachable keeps the key":             {true, []*api.Problem{wait(api.LeaveUnknown(api.ReasonIssuerUnreachable, "cut")), nil}, api.Answered, 2, 1},
-		"issuer gone and nothing sent takes a new key": {true, []*api.Problem{api.LeaveUnknown(api.ReasonIssuerGone, "gone").ForAttempt(), nil}, api.Answered, 2, 2},
-		"issuer gone and perhaps sent ends":            {true, []*api.Problem{api.LeaveUnknown(api.ReasonIssuerGone, "gone")}, api.Unknown, 1, 1},
-		"issuer gone after a doubtful attempt ends":    {true, []*api.Problem{wait(api.LeaveUnknown(api.ReasonIssuerUnreachable, "cut")), api.LeaveUnknown(api.ReasonIssuerGone, "gone").ForAttempt()}, api.Unknown, 2, 1},
+		"unknown ends a non-idempotent":                {true, []*api.Problem{api.UnknownOutcome(api.ReasonUpstreamLost, "lost"), nil}, api.Unknown, 1, 1},
+		"unknown repeats an idempotent":                {false, []*api.Problem{api.UnknownOutcome(api.ReasonUpstreamLost, "lost"), nil}, api.Answered, 2, 0},
+		"issuer unreachable keeps the key":             {true, []*api.Problem{wait(api.UnknownOutcome(api.ReasonIssuerUnreachable, "cut")), nil}, api.Answered, 2, 1},
+		"issuer gone and nothing sent takes a new key": {true, []*api.Problem{api.UnknownOutcome(api.ReasonIssuerGone, "gone").WithAttemptNotRun(), nil}, api.Answered, 2, 2},
+		"issuer gone and perhaps sent ends":            {true, []*api.Problem{api.UnknownOutcome(api.ReasonIssuerGone, "gone")}, api.Unknown, 1, 1},
+		"issuer gone after a doubtful attempt ends":    {true, []*api.Problem{wait(api.UnknownOutcome(api.ReasonIssuerUnreachable, "cut")), api.UnknownOutcome(api.ReasonIssuerGone, "gone").WithAttemptNotRun()}, api.Unknown, 2, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/client/stream.go
+++ b/client/stream.go
@@ -53,12 +53,12 @@
 			if err == nil {
 				err = fmt.Errorf("the answer is no stream; ask for one in the body")
 				s.request.err = err
-				return s.request.failed(s.ctx)
+				return s.request.newError(s.ctx)
 			}
 		}
-		pause, again := s.request.judge(err)
+		pause, again := s.request.handleFailure(err)
 		if !again || !wait.For(s.ctx, pause) {
-			return s.request.failed(s.ctx)
+			return s.request.newError(s.ctx)
 		}
 	}
 }
@@ -131,10 +131,10 @@
 // isn't begun anew: its user has seen a part already.
 func (s *Stream) reconnect(cause error) error {
 	s.response.Body.Close()
-	pause, again := s.request.judge(cause)
+	pause, again := s.request.handleFailure(cause)
 	s.request.uncertain = true
 	if s.request.lastID == "" || !again || !wait.For(s.ctx, pause) {
-		return s.request.failed(s.ctx)
+		return s.request.newError(s.ctx)
 	}
 	return s.connect()
 }
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// atStart is how long the machine had been suspended when the process started.
-var atStart = suspendedEver()
+// suspendedAtStart is how long the machine had been suspended when the process started.
+var suspendedAtStart = totalSuspended()
 
-// longest is the most that Suspended has found, in nanoseconds: two clocks are read one after the
+// maxSuspended is the most that Suspended has found, in nanoseconds: two clocks are read one after the
 // other, and a delay between them looks like less.
-var longest atomic.Int64
+var maxSuspended atomic.Int64
 
 // resolution of what is found, well above the time between two readings.
 const resolution = time.Millisecond
@@ -31,8 +31,8 @@
 // Until returns the time until t, which was worked out from what Now has told.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady turns a time of this package into one that is as long ago by the steady clock; none stays none.
-func Steady(t time.Time) time.Time {
+// ToMonotonic turns a time of this package into one that is as long ago by the steady clock; none stays none.
+func ToMonotonic(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
@@ -41,21 +41,21 @@
 
 // Suspended returns for how long the machine has been suspended since the process started.
 func Suspended() time.Duration {
-	found := int64((suspendedEver() - atStart).Truncate(resolution))
+	found := int64((totalSuspended() - suspendedAtStart).Truncate(resolution))
 	for {
-		before := longest.Load()
+		before := maxSuspended.Load()
 		if found <= before {
 			return time.Duration(before)
 		}
-		if longest.CompareAndSwap(before, found) {
+		if maxSuspended.CompareAndSwap(before, found) {
 			return time.Duration(found)
 		}
 	}
 }
 
-// suspendedEver is what the boot clock has counted beyond the steady one. A system without a boot clock
+// totalSuspended is what the boot clock has counted beyond the steady one. A system without a boot clock
 // isn't known to have been suspended.
-func suspendedEver() time.Duration {
+func totalSuspended() time.Duration {
 	var boot, steady unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
 		return 0
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -18,6 +18,6 @@
 	}
 	is.True(Since(last) >= 0)
 	is.True(Until(last.Add(time.Hour)) > 59*time.Minute)
-	is.True(time.Since(Steady(last)) < time.Hour)
-	is.True(Steady(time.Time{}).IsZero())
+	is.True(time.Since(ToMonotonic(last)) < time.Hour)
+	is.True(ToMonotonic(time.Time{}).IsZero())
 }
--- a/internal/callerapi/server.go
+++ b/internal/callerapi/server.go
@@ -68,7 +68,7 @@
 // request under a key ran, only the key's issuer knows.
 func (s *Server) refuse(w http.ResponseWriter, h *http.Request, id string, p *api.Problem) {
 	if h.Header.Get(api.HeaderIdempotencyKey) != "" {
-		p = p.UnderKey()
+		p = p.WithUnknownOutcome()
 	}
 	s.metrics.Refused(p.Reason)
 	s.writeProblem(w, id, p)
--- a/internal/certificates/certificates.go
+++ b/internal/certificates/certificates.go
@@ -14,13 +14,13 @@
 	"github.com/tacktally/tacktally/internal/settings"
 )
 
-// checkEvery is how often a file's time of change is looked at, at most.
-const checkEvery = time.Second
+// checkInterval is how often a file's time of change is looked at, at most.
+const checkInterval = time.Second
 
 // Server returns the configuration of a listener. With a client CA it lets in
 // only clients with a certificate that the CA signed.
 func Server(t settings.TLS) (*tls.Config, error) {
-	f := &files{names: t}
+	f := &reloader{paths: t}
 	if err := f.load(); err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	if t.ClientCAFile == "" {
 		return nil, errors.New("peers.tls.clientCAFile is missing; name the CA that signs the instances' certificates")
 	}
-	f := &files{names: t}
+	f := &reloader{paths: t}
 	if err := f.load(); err != nil {
 		return nil, err
 	}
@@ -55,9 +55,9 @@
 	}, nil
 }
 
-// files holds what was last read. Safe for concurrent use.
-type files struct {
-	names settings.TLS
+// reloader holds what was last read. Safe for concurrent use.
+type reloader struct {
+	paths settings.TLS
 
 	mu          sync.Mutex
 	certificate *tls.Certificate
@@ -66,12 +66,12 @@
 	checked     time.Time
 }
 
-func (f *files) load() error {
-	certificate, err := tls.LoadX509KeyPair(f.names.CertificateFile, f.names.KeyFile)
+func (f *reloader) load() error {
+	certificate, err := tls.LoadX509KeyPair(f.paths.CertificateFile, f.paths.KeyFile)
 	if err != nil {
-		return fmt.Errorf("certificate %s can't be used; give a matching certificate and key: %w", f.names.CertificateFile, err)
+		return fmt.Errorf("certificate %s can't be used; give a matching certificate and key: %w", f.paths.CertificateFile, err)
 	}
-	pool, err := loadPool(f.names.ClientCAFile)
+	pool, err := loadPool(f.paths.ClientCAFile)
 	if err != nil {
 		return err
 	}
@@ -98,8 +98,8 @@
 
 // current returns what the files hold. While they can't be read, as in the midst
 // of a renewal, what was read before stays in use.
-func (f *files) current() (*tls.Certificate, *x509.CertPool) {
-	if changed, due := f.isDue(); due && f.load() == nil {
+func (f *reloader) current() (*tls.Certificate, *x509.CertPool) {
+	if changed, due := f.needsReload(); due && f.load() == nil {
 		f.mu.Lock()
 		f.changed = changed
 		f.mu.Unlock()
@@ -109,17 +109,17 @@
 	return f.certificate, f.pool
 }
 
-// isDue tells whether the files have changed since they were last read whole, and
+// needsReload tells whether the files have changed since they were last read whole, and
 // when the later of the two did.
-func (f *files) isDue() (changed time.Time, due bool) {
+func (f *reloader) needsReload() (changed time.Time, due bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if now.Sub(f.checked) < checkEvery {
+	if now.Sub(f.checked) < checkInterval {
 		return changed, false
 	}
 	f.checked = now
-	for _, name := range []string{f.names.CertificateFile, f.names.KeyFile, f.names.ClientCAFile} {
+	for _, name := range []string{f.paths.CertificateFile, f.paths.KeyFile, f.paths.ClientCAFile} {
 		if name == "" {
 			continue
 		}
--- a/internal/certificates/certificates_test.go
+++ b/internal/certificates/certificates_test.go
@@ -50,7 +50,7 @@
 		is.NoErr(os.WriteFile(name, content, 0o600))
 		is.NoErr(os.Chtimes(name, at, at))
 	}
-	f := &files{names: names}
+	f := &reloader{paths: names}
 	serial := func() int64 {
 		f.checked = time.Time{} // due again
 		c, _ := f.current()
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -23,8 +23,8 @@
 	ExitUsage  = 2
 )
 
-// globals are the options of every command.
-type globals struct {
+// globalOptions are the options of every command.
+type globalOptions struct {
 	Address   string `short:"a" long:"address" value-name:"URL" default:"http://127.0.0.1:8081" env:"TACKTALLY_ADDRESS" description:"Operators' address of any instance"`
 	TokenFile string `long:"token-file" value-name:"FILE" env:"TACKTALLY_TOKEN_FILE" description:"File with the operators' token"`
 	Output    string `short:"o" long:"output" choice:"table" choice:"json" default:"table" description:"Form of the output"`
@@ -45,7 +45,7 @@
 
 // session is what a command runs with.
 type session struct {
-	*globals
+	*globalOptions
 	ctx      context.Context
 	out      io.Writer
 	platform Platform
@@ -55,11 +55,11 @@
 func Run(args []string, out, errOut io.Writer, platform Platform) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	g := &globals{Version: func() {
+	g := &globalOptions{Version: func() {
 		fmt.Fprintln(out, "tacktally", daemon.Version())
 		os.Exit(ExitDone)
 	}}
-	s := &session{globals: g, ctx: ctx, out: out, platform: platform}
+	s := &session{globalOptions: g, ctx: ctx, out: out, platform: platform}
 	p := flags.NewParser(g, flags.HelpFlag|flags.PassDoubleDash)
 	p.Name = "tacktally"
 	p.LongDescription = "Reads, watches, explains and checks the resources that instances of tacktally serve under. " +
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	story := logs.StoryOf(lines, c.Args.Request)
+	story := logs.TraceRequest(lines, c.Args.Request)
 	if len(story.Lines) == 0 {
 		return fmt.Errorf("no line names request %s; give the logs of all instances, from the time at which it came", c.Args.Request)
 	}
@@ -65,7 +65,7 @@
 		fmt.Fprintln(c.session.out, l.Text)
 	}
 	for _, cause := range story.Causes {
-		fmt.Fprintf(c.session.out, "\n%s:\n  %s\n", cause.Why, cause.Line.Text)
+		fmt.Fprintf(c.session.out, "\n%s:\n  %s\n", cause.Explanation, cause.Line.Text)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	o, err := logs.OutcomesBy(lines, c.By, c.Step)
+	o, err := logs.CountOutcomes(lines, c.By, c.Step)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/places.go
+++ b/internal/cli/places.go
@@ -17,8 +17,8 @@
 	Metrics []string `long:"metrics" value-name:"URL" required:"true" description:"Where an instance serves metrics (routed.metrics), such as http://10.1.0.25:7600; give it again for more instances"`
 }
 
-// errNoPlaces: an instance didn't say what it knows.
-var errNoPlaces = errors.New("the instance doesn't say what it knows of zones; name its metrics' address, routed.metrics, with --metrics")
+// errNoZoneReport: an instance didn't say what it knows.
+var errNoZoneReport = errors.New("the instance doesn't say what it knows of zones; name its metrics' address, routed.metrics, with --metrics")
 
 // Execute implements flags.Commander.
 func (c *placesCommand) Execute([]string) error {
@@ -35,7 +35,7 @@
 	}
 	return c.session.table(func(w io.Writer) {
 		for _, p := range all {
-			printPlaces(w, p)
+			printZoneReport(w, p)
 		}
 		printTotal(w, all)
 	})
@@ -44,33 +44,33 @@
 func (c *placesCommand) read(url string) (p entry.ZoneReport, err error) {
 	request, err := sling.New().Base(url).Get(entry.ZoneReportPath).Request()
 	if err != nil {
-		return p, fmt.Errorf("%w: %q is no URL: %w", errNoPlaces, url, err)
+		return p, fmt.Errorf("%w: %q is no URL: %w", errNoZoneReport, url, err)
 	}
 	response, err := http.DefaultClient.Do(request.WithContext(c.session.ctx))
 	if err != nil {
-		return p, fmt.Errorf("%w: %w", errNoPlaces, err)
+		return p, fmt.Errorf("%w: %w", errNoZoneReport, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return p, fmt.Errorf("%w: %s answered %s", errNoPlaces, url, response.Status)
+		return p, fmt.Errorf("%w: %s answered %s", errNoZoneReport, url, response.Status)
 	}
 	if err := json.UnmarshalRead(response.Body, &p); err != nil {
-		return p, fmt.Errorf("%w: the answer of %s: %w", errNoPlaces, url, err)
+		return p, fmt.Errorf("%w: the answer of %s: %w", errNoZoneReport, url, err)
 	}
 	return p, nil
 }
 
-func printPlaces(w io.Writer, p entry.ZoneReport) {
+func printZoneReport(w io.Writer, p entry.ZoneReport) {
 	fmt.Fprintf(w, "instance\t%s\tevacuations known up to revision %d, work held back by limits of starts %d times\n", p.Instance, p.Version, p.LimitedGrants)
 	for _, z := range p.Zones {
-		fmt.Fprintf(w, "zone\t%s\t%s, %d upstreams, %d requests of this instance\n", z.Name, inService(z.Evacuated), z.Upstreams, z.Running)
+		fmt.Fprintf(w, "zone\t%s\t%s, %d upstreams, %d requests of this instance\n", z.Name, zoneState(z.Evacuated), z.Upstreams, z.Running)
 	}
 	for _, u := range p.Cold {
 		fmt.Fprintf(w, "cold\t%s\tin %s, for %d ms more\n", u.ID, u.Zone, u.RemainingMS)
 	}
 }
 
-func inService(evacuated bool) string {
+func zoneState(evacuated bool) string {
 	if evacuated {
 		return "evacuated"
 	}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -45,13 +45,13 @@
 // types and trailing data are rejected with the path of the field.
 func Decode(content []byte) (*api.Document, error) {
 	var doc api.Document
-	if err := decodeStrictly(content, &doc); err != nil {
+	if err := decodeStrict(content, &doc); err != nil {
 		return nil, err
 	}
 	return &doc, nil
 }
 
-func decodeStrictly(content []byte, into any) *RejectedError {
+func decodeStrict(content []byte, into any) *RejectedError {
 	if len(content) > MaxDocumentBytes {
 		return rejected("", fmt.Sprintf("is %d bytes; publish at most %d, with organisations in parts", len(content), MaxDocumentBytes))
 	}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// under returns the faults with a path before theirs.
-func (e *RejectedError) under(path string) *RejectedError {
+// withPathPrefix returns the faults with a path before theirs.
+func (e *RejectedError) withPathPrefix(path string) *RejectedError {
 	for i := range e.Faults {
 		e.Faults[i].Path = path + e.Faults[i].Path
 	}
@@ -88,15 +88,15 @@
 	if e.Err != nil {
 		return fmt.Sprintf("holds an unfit value (%v); see the resource reference for its type", e.Err)
 	}
-	return fmt.Sprintf("holds %s where %s is wanted; see the resource reference", jsonWords[e.JSONKind], goWords[e.GoType.Kind()])
+	return fmt.Sprintf("holds %s where %s is wanted; see the resource reference", jsonKindNames[e.JSONKind], goKindNames[e.GoType.Kind()])
 }
 
-// jsonWords names what stands in a document, goWords what is wanted there.
+// jsonKindNames names what stands in a document, goKindNames what is wanted there.
 var (
-	jsonWords = map[jsontext.Kind]string{
+	jsonKindNames = map[jsontext.Kind]string{
 		'n': "null", 't': "true", 'f': "false", '"': "a string", '0': "a number", '{': "an object", '[': "an array",
 	}
-	goWords = map[reflect.Kind]string{
+	goKindNames = map[reflect.Kind]string{
 		reflect.Bool: "true or false", reflect.Int: "a whole number", reflect.Float64: "a number",
 		reflect.String: "a string", reflect.Struct: "an object", reflect.Slice: "an array",
 	}
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -45,10 +45,10 @@
 // false when it is the one already held. Parts holds what is at hand of its parts;
 // those of the snapshot held needn't be in it. A *MissingPartsError asks for more.
 func (h *Holder) Offer(now time.Time, revision int64, content []byte, parts Parts) (bool, error) {
-	if accepted, err, done := h.compare(now, revision, content); done {
+	if accepted, err, done := h.compareCurrent(now, revision, content); done {
 		return accepted, err
 	}
-	next, err := acceptAfter(h.Current(), revision, bytes.Clone(content), parts)
+	next, err := acceptReusing(h.Current(), revision, bytes.Clone(content), parts)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var missing *MissingPartsError
@@ -60,24 +60,24 @@
 		return false, fmt.Errorf("revision %d: %w", revision, err)
 	}
 	if h.current != nil && h.current.Revision >= revision {
-		return false, h.heldError(now, revision, content)
+		return false, h.checkNotNewer(now, revision, content)
 	}
 	h.current = next
 	h.since = now
 	return true, nil
 }
 
-// compare answers for a value that isn't newer than the one held.
-func (h *Holder) compare(now time.Time, revision int64, content []byte) (accepted bool, err error, done bool) {
+// compareCurrent answers for a value that isn't newer than the one held.
+func (h *Holder) compareCurrent(now time.Time, revision int64, content []byte) (accepted bool, err error, done bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.current == nil || revision > h.current.Revision {
 		return false, nil, false
 	}
-	return false, h.heldError(now, revision, content), true
+	return false, h.checkNotNewer(now, revision, content), true
 }
 
-func (h *Holder) heldError(now time.Time, revision int64, content []byte) error {
+func (h *Holder) checkNotNewer(now time.Time, revision int64, content []byte) error {
 	if revision < h.current.Revision {
 		return fmt.Errorf("revision %d under %d: %w", revision, h.current.Revision, ErrOlderRevision)
 	}
--- a/internal/config/parts.go
+++ b/internal/config/parts.go
@@ -15,8 +15,8 @@
 // Parts are the contents of parts, by their SHA-256 sum in lower-case hex.
 type Parts map[string][]byte
 
-// SumPart returns the sum by which a document refers to a part.
-func SumPart(content []byte) string {
+// HashPart returns the sum by which a document refers to a part.
+func HashPart(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
@@ -42,9 +42,9 @@
 	organisations []api.Organisation
 }
 
-// takeParts finds the parts of a document: those decoded before, and new ones among
+// resolveParts finds the parts of a document: those decoded before, and new ones among
 // the contents. A content that doesn't have the sum counts as missing.
-func takeParts(doc *api.Document, contents Parts, known map[string]*part) (map[string]*part, error) {
+func resolveParts(doc *api.Document, contents Parts, known map[string]*part) (map[string]*part, error) {
 	taken := make(map[string]*part, len(doc.Parts))
 	missing := &MissingPartsError{}
 	for i, r := range doc.Parts {
@@ -53,13 +53,13 @@
 			continue
 		}
 		content, ok := contents[r.SHA256]
-		if !ok || SumPart(content) != r.SHA256 {
+		if !ok || HashPart(content) != r.SHA256 {
 			missing.References = append(missing.References, r)
 			continue
 		}
 		var p api.Part
-		if err := decodeStrictly(content, &p); err != nil {
-			return nil, err.under(fmt.Sprintf("/parts/%d", i))
+		if err := decodeStrict(content, &p); err != nil {
+			return nil, err.withPathPrefix(fmt.Sprintf("/parts/%d", i))
 		}
 		taken[r.SHA256] = &part{content: content, organisations: p.Organisations}
 	}
--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -26,8 +26,8 @@
 	contents = Parts{}
 	var refs []string
 	for i, p := range parts {
-		contents[SumPart(p)] = p
-		refs = append(refs, fmt.Sprintf(`{"key":"part-%d","sha256":%q}`, i, SumPart(p)))
+		contents[HashPart(p)] = p
+		refs = append(refs, fmt.Sprintf(`{"key":"part-%d","sha256":%q}`, i, HashPart(p)))
 	}
 	text := strings.Replace(example(t), "{", `{"parts":[`+strings.Join(refs, ",")+`],`, 1)
 	return []byte(text), contents
@@ -44,7 +44,7 @@
 		is.True(ok)
 	}
 	is.Equal(len(s.Parts(nil)), 2)
-	is.Equal(len(s.Parts(s.PartSums())), 0)
+	is.Equal(len(s.Parts(s.PartHashes())), 0)
 }
 
 func TestFaultsInPartsAreNamed(t *testing.T) {
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	h := NewHolder()
 	content, parts := withParts(t, partOf("a"), partOf("b"))
-	sum := SumPart(partOf("b"))
+	sum := HashPart(partOf("b"))
 	good := parts[sum]
 	parts[sum] = partOf("forged")
 	accepted, err := h.Offer(time.Now(), 1, content, parts)
@@ -88,7 +88,7 @@
 	is.True(accepted)
 	// The next revision needs only what is new.
 	next, all := withParts(t, partOf("a"), partOf("c"))
-	delete(all, SumPart(partOf("a")))
+	delete(all, HashPart(partOf("a")))
 	accepted, err = h.Offer(time.Now(), 2, next, all)
 	is.NoErr(err)
 	is.True(accepted)
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -102,11 +102,11 @@
 // Accept decodes, validates and indexes a published value and its parts. The error
 // is a *RejectedError, or a *MissingPartsError when parts aren't at hand.
 func Accept(revision int64, content []byte, parts Parts) (*Snapshot, error) {
-	return acceptAfter(nil, revision, content, parts)
+	return acceptReusing(nil, revision, content, parts)
 }
 
-// acceptAfter is Accept, and uses again what an earlier snapshot has decoded.
-func acceptAfter(earlier *Snapshot, revision int64, content []byte, contents Parts) (*Snapshot, error) {
+// acceptReusing is Accept, and uses again what an earlier snapshot has decoded.
+func acceptReusing(earlier *Snapshot, revision int64, content []byte, contents Parts) (*Snapshot, error) {
 	doc, err := Decode(content)
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	if earlier != nil {
 		known = earlier.parts
 	}
-	parts, err := takeParts(doc, contents, known)
+	parts, err := resolveParts(doc, contents, known)
 	if err != nil {
 		return nil, err
 	}
@@ -145,8 +145,8 @@
 	return out
 }
 
-// PartSums lists the sums of the document's parts.
-func (s *Snapshot) PartSums() []string { return slices.Collect(maps.Keys(s.parts)) }
+// PartHashes lists the sums of the document's parts.
+func (s *Snapshot) PartHashes() []string { return slices.Collect(maps.Keys(s.parts)) }
 
 func (s *Snapshot) indexTiers() {
 	s.tiers = make(map[string]*Tier, len(s.Document.Tiers))
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -104,7 +104,7 @@
 	seen[name] = true
 }
 
-func (v *validator) within(path string, value, low, high int, unit string) {
+func (v *validator) inRange(path string, value, low, high int, unit string) {
 	if value < low || value > high {
 		v.add(path, "is %d; set %d to %d %s", value, low, high, unit)
 	}
@@ -122,9 +122,9 @@
 	for i, t := range tiers {
 		path := fmt.Sprintf("/tiers/%d", i)
 		v.name(func() string { return path }, t.Metadata.Name, seen)
-		v.within(path+"/spec/timeoutMillis", t.Spec.TimeoutMillis, 1, maxTimeoutMillis, "milliseconds")
-		v.within(path+"/spec/firstTokenMillis", t.Spec.FirstTokenMillis, 0, maxTimeoutMillis, "milliseconds")
-		v.within(path+"/spec/rank", t.Spec.Rank, 0, maxTiers-1, "with 0 the most important")
+		v.inRange(path+"/spec/timeoutMillis", t.Spec.TimeoutMillis, 1, maxTimeoutMillis, "milliseconds")
+		v.inRange(path+"/spec/firstTokenMillis", t.Spec.FirstTokenMillis, 0, maxTimeoutMillis, "milliseconds")
+		v.inRange(path+"/spec/rank", t.Spec.Rank, 0, maxTiers-1, "with 0 the most important")
 		if other, ok := ranks[t.Spec.Rank]; ok {
 			v.add(path+"/spec/rank", "is %d, as that of tier %q; give each tier its own rank", t.Spec.Rank, other)
 		}
@@ -184,8 +184,8 @@
 	for i, s := range sets {
 		path := fmt.Sprintf("/engineSets/%d", i)
 		v.name(func() string { return path }, s.Metadata.Name, seen)
-		v.within(path+"/spec/maxPromptTokens", s.Spec.MaxPromptTokens, 1, maxTokensPerPrompt, "tokens")
-		v.within(path+"/spec/maxOutputTokens", s.Spec.MaxOutputTokens, 1, maxTokensPerPrompt, "tokens")
+		v.inRange(path+"/spec/maxPromptTokens", s.Spec.MaxPromptTokens, 1, maxTokensPerPrompt, "tokens")
+		v.inRange(path+"/spec/maxOutputTokens", s.Spec.MaxOutputTokens, 1, maxTokensPerPrompt, "tokens")
 		if len(s.Spec.Models) == 0 {
 			v.add(path+"/spec/models", "is empty; name the models it serves")
 		}
@@ -233,8 +233,8 @@
 	for i, s := range services {
 		path := fmt.Sprintf("/services/%d", i)
 		v.name(func() string { return path }, s.Metadata.Name, seen)
-		v.within(path+"/spec/maxBodyBytes", s.Spec.MaxBodyBytes, 0, maxServiceBody, "bytes")
-		v.within(path+"/spec/costTokens", s.Spec.CostTokens, 0, maxTokensPerPrompt, "tokens")
+		v.inRange(path+"/spec/maxBodyBytes", s.Spec.MaxBodyBytes, 0, maxServiceBody, "bytes")
+		v.inRange(path+"/spec/costTokens", s.Spec.CostTokens, 0, maxTokensPerPrompt, "tokens")
 		for j, call := range s.Spec.NonIdempotent {
 			if _, err := parseCall(call); err != nil {
 				v.add(fmt.Sprintf("%s/spec/nonIdempotent/%d", path, j), "%v", err)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -40,7 +40,7 @@
 // Fetch implements peer.Handler.
 func (p *peerHandler) FetchRequest() *peer.FetchRequest {
 	if c := p.holder.Current(); c != nil {
-		return &peer.FetchRequest{Parts: c.PartSums()}
+		return &peer.FetchRequest{Parts: c.PartHashes()}
 	}
 	return &peer.FetchRequest{}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -14,10 +14,10 @@
 
 // Addresses of the demo's daemon.
 const (
-	callerAt    = "127.0.0.1:8080"
-	operatorAt  = "127.0.0.1:8081"
-	peerAt      = "127.0.0.1:8082"
-	reportEvery = 2 * time.Second
+	callerAddress   = "127.0.0.1:8080"
+	operatorAddress = "127.0.0.1:8081"
+	peerAddress     = "127.0.0.1:8082"
+	reportInterval  = 2 * time.Second
 )
 
 // Options of a demo.
@@ -29,8 +29,8 @@
 	Rate float64
 }
 
-// specs are three unlike engines.
-var specs = []engine.Spec{
+// engineSpecs are three unlike engines.
+var engineSpecs = []engine.Spec{
 	{PrefillPerSecond: 20_000, StepBase: 8 * time.Millisecond, StepPerSequence: 200 * time.Microsecond, Slots: 16, ChunkTokens: 512, CacheBlocks: 1024},
 	{PrefillPerSecond: 8_000, StepBase: 15 * time.Millisecond, StepPerSequence: 400 * time.Microsecond, Slots: 12, ChunkTokens: 512, CacheBlocks: 512},
 	{PrefillPerSecond: 3_000, StepBase: 30 * time.Millisecond, StepPerSequence: time.Millisecond, Slots: 8, ChunkTokens: 256, CacheBlocks: 256},
@@ -43,7 +43,7 @@
 		ctx, cancel = context.WithTimeout(ctx, o.Duration)
 		defer cancel()
 	}
-	r, err := rig.Start(rig.Options{Engines: specs, Callers: callerAt, Operators: operatorAt, Peers: peerAt})
+	r, err := rig.Start(rig.Options{Engines: engineSpecs, Callers: callerAddress, Operators: operatorAddress, Peers: peerAddress})
 	if err != nil {
 		return fmt.Errorf("the demo needs ports 8080 to 8082 on loopback: %w", err)
 	}
@@ -58,7 +58,7 @@
     -d '{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"two sofas and a piano"}]}'
   go run ./cmd/tacktally status
 
-`, len(specs), callerAt, operatorAt, callerAt, rig.APIKey, rig.TierUrgent, rig.Model)
-	newTraffic(o, "http://"+callerAt).run(ctx)
+`, len(engineSpecs), callerAddress, operatorAddress, callerAddress, rig.APIKey, rig.TierUrgent, rig.Model)
+	newTraffic(o, "http://"+callerAddress).run(ctx)
 	return nil
 }
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// wordsLow and wordsHigh bound a prompt: lengths differ a hundredfold.
-	wordsLow  = 20
-	wordsHigh = 2000
+	// minWords and wordsHigh bound a prompt: lengths differ a hundredfold.
+	minWords  = 20
+	maxWords  = 2000
 	maxOutput = 64
 )
 
@@ -35,20 +35,20 @@
 	url    string
 	client *http.Client
 
-	mu    sync.Mutex
-	tally map[string]*tally
+	mu     sync.Mutex
+	counts map[string]*tierCounts
 }
 
-// tally is what became of a tier's requests.
-type tally struct {
+// tierCounts is what became of a tier's requests.
+type tierCounts struct {
 	sent, answered, notRun, unknown int
 	first                           *hdrhistogram.Histogram // ms to the first byte
 }
 
 func newTraffic(o Options, url string) *traffic {
-	t := &traffic{o: o, url: url, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}, tally: map[string]*tally{}}
+	t := &traffic{o: o, url: url, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}, counts: map[string]*tierCounts{}}
 	for _, name := range tiers {
-		t.tally[name] = &tally{first: hdrhistogram.New(1, 120_000, 2)}
+		t.counts[name] = &tierCounts{first: hdrhistogram.New(1, 120_000, 2)}
 	}
 	return t
 }
@@ -57,7 +57,7 @@
 func (t *traffic) run(ctx context.Context) {
 	send := time.NewTicker(time.Duration(float64(time.Second) / max(t.o.Rate, 0.1)))
 	defer send.Stop()
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	var sent sync.WaitGroup
 	for {
@@ -80,7 +80,7 @@
 		t.book(ctx, tier)
 		return
 	}
-	words := wordsLow + int(float64(wordsHigh-wordsLow)*rand.Float64()*rand.Float64()*rand.Float64())
+	words := minWords + int(float64(maxWords-minWords)*rand.Float64()*rand.Float64()*rand.Float64())
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		rig.Model, 4+rand.IntN(maxOutput), strings.Repeat("crate ", words))
 	t.do(ctx, tier, "/v1/chat/completions", body, "")
@@ -125,17 +125,17 @@
 		t.count(tier, outcome, first)
 	}
 	if response.StatusCode == http.StatusPreconditionRequired {
-		return keyOf(response)
+		return issuedKey(response)
 	}
 	return ""
 }
 
-func keyOf(r *http.Response) string { return r.Header.Get(api.HeaderIssuedKey) }
+func issuedKey(r *http.Response) string { return r.Header.Get(api.HeaderIssuedKey) }
 
 func (t *traffic) count(tier string, o api.Outcome, first time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.tally[tier]
+	c := t.counts[tier]
 	c.sent++
 	switch o {
 	case api.Answered:
@@ -154,7 +154,7 @@
 	w := tabwriter.NewWriter(t.o.Out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tier\tended\tanswered\tnot-run\tunknown\tfirst byte p50\tp95\t")
 	for _, name := range tiers {
-		c := t.tally[name]
+		c := t.counts[name]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d ms\t%d ms\t\n", name, c.sent, c.answered, c.notRun, c.unknown,
 			c.first.ValueAtQuantile(50), c.first.ValueAtQuantile(95))
 	}
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -80,7 +80,7 @@
 		return end
 	}
 	if p.Outcome == api.NotRun && a.mayHaveRun {
-		p = api.LeaveUnknown(api.ReasonUpstreamLost, "an upstream lost the request, and another try was given up: %s", p.Detail).WithRetryAfter(time.Second)
+		p = api.UnknownOutcome(api.ReasonUpstreamLost, "an upstream lost the request, and another try was given up: %s", p.Detail).WithRetryAfter(time.Second)
 	}
 	return answer.End{Problem: p}
 }
@@ -243,15 +243,15 @@
 	case upstream.Busy:
 		return answer.End{Problem: api.Refuse(api.ReasonUpstreamRefused, "the upstreams refuse work (%v); come back later", r.Err).WithRetryAfter(max(r.RetryAfter, time.Second))}
 	case upstream.Timeout:
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamTimeout, "the deadline passed while the upstream worked; allow more time, and check what it did before you send it under a new key")}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamTimeout, "the deadline passed while the upstream worked; allow more time, and check what it did before you send it under a new key")}
 	case upstream.Cut:
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamCut, "the upstream ended its answer early (%v); check what it did, or resume with Last-Event-ID", r.Err)}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamCut, "the upstream ended its answer early (%v); check what it did, or resume with Last-Event-ID", r.Err)}
 	case upstream.Garbage:
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamGarbage, "the upstream's answer breaks its protocol (%v); check what it did, and tell your operator", r.Err)}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamGarbage, "the upstream's answer breaks its protocol (%v); check what it did, and tell your operator", r.Err)}
 	case upstream.Cancelled:
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonCallerGone, "the caller closed the connection while the upstream worked")}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonCallerGone, "the caller closed the connection while the upstream worked")}
 	default:
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamLost, "the connection broke after the request was written (%v); check what it did before you send it under a new key", r.Err)}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamLost, "the connection broke after the request was written (%v); check what it did before you send it under a new key", r.Err)}
 	}
 }
 
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	r := &request.Request{Prompt: 100, Output: 50}
 	refused := answer.End{Problem: api.Refuse(api.ReasonQueueFull, "full")}
-	lost := answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamLost, "lost")}
+	lost := answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamLost, "lost")}
 	is.Equal((&attempts{request: r, output: 20}).unused(answer.End{}), 30)
 	is.Equal((&attempts{request: r}).unused(refused), 150)
 	is.Equal((&attempts{request: r, output: 60}).unused(lost), 0)
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -51,7 +51,7 @@
 		return answer.End{Problem: api.Refuse(api.ReasonInvalidRequest, "%v", err)}
 	}
 	if !a.dispatcher.isListed(a.set, token.Upstream) {
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamLost, "the engine of this stream is no longer in service; send the request anew, without Last-Event-ID")}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamLost, "the engine of this stream is no longer in service; send the request anew, without Last-Event-ID")}
 	}
 	a.epoch = a.dispatcher.o.Gate.Detector.Epoch()
 	result := a.dispatcher.o.Client.Do(ctx, a.resumeCall(token.Upstream, token.StreamID, token.Events), a.buffer)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,7 +69,7 @@
 	address     string
 	incarnation idempotency.Incarnation
 	started     time.Time
-	output      *telemetry.Bounded
+	output      *telemetry.AsyncWriter
 	log         *log.Logger
 	metrics     *telemetry.Metrics
 	listeners   listeners
@@ -99,7 +99,7 @@
 		settings:    s,
 		incarnation: idempotency.NewIncarnation(),
 		started:     time.Now(),
-		output:      telemetry.NewBounded(o.LogWriter),
+		output:      telemetry.NewAsyncWriter(o.LogWriter),
 		metrics:     telemetry.NewMetrics(),
 	}
 	if err := i.listeners.open(s, i.metrics); err != nil {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -75,7 +75,7 @@
 
 // listeners are the listeners of an instance.
 type listeners struct {
-	callers *listen.Callers
+	callers *listen.LimitedListener
 	ready   net.Listener
 	peers   net.Listener
 	metrics net.Listener
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	l.callers = listen.NewCallers(callers, maxCallerConnections(s.Routed.MaxFiles), func() { m.Count("tacktally_connections_refused_total") })
+	l.callers = listen.NewLimitedListener(callers, maxCallerConnections(s.Routed.MaxFiles), func() { m.Count("tacktally_connections_refused_total") })
 	if l.ready, err = listen.TCP("routed.ready", s.Routed.Ready); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	metrics := http.NewServeMux()
 	metrics.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { i.metrics.Write(w) })
 	metrics.HandleFunc("GET "+ZoneReportPath, i.serveZoneReport)
-	s := &servers{callers: i.startServer(l.callers, i.proxy, l.callers.State)}
+	s := &servers{callers: i.startServer(l.callers, i.proxy, l.callers.ConnState)}
 	s.others = []*http.Server{i.startServer(l.ready, &i.ready, nil), i.startServer(l.peers, mesh, nil), i.startServer(l.metrics, metrics, nil)}
 	return s
 }
--- a/internal/faults/parts_test.go
+++ b/internal/faults/parts_test.go
@@ -28,7 +28,7 @@
 		}
 		content := []byte(`{"organisations":[` + strings.Join(list, ",") + `]}`)
 		key := fmt.Sprintf("part-%d-%s", n, salt)
-		ref := fmt.Sprintf(`{"key":%q,"sha256":%q}`, key, config.SumPart(content))
+		ref := fmt.Sprintf(`{"key":%q,"sha256":%q}`, key, config.HashPart(content))
 		if n < len(refs) {
 			refs[n] = ref
 		} else {
--- a/internal/gateway/callerchosen.go
+++ b/internal/gateway/callerchosen.go
@@ -71,7 +71,7 @@
 }
 
 func notFirstAttempt() *api.Problem {
-	return api.LeaveUnknown(api.ReasonNotFirstAttempt, "no instance within reach holds an earlier attempt of this ID, and only the first may run; mark the first attempt with %s: 1, or check what it did and use a new ID", api.HeaderAttempt)
+	return api.UnknownOutcome(api.ReasonNotFirstAttempt, "no instance within reach holds an earlier attempt of this ID, and only the first may run; mark the first attempt with %s: 1, or check what it did and use a new ID", api.HeaderAttempt)
 }
 
 func isNotFound(b *answer.Buffer) bool {
@@ -104,10 +104,10 @@
 		return b
 	case <-none:
 		cancel()
-		return g.refuse(r, notFirstAttempt().ForAttempt())
+		return g.refuse(r, notFirstAttempt().WithAttemptNotRun())
 	case <-time.After(joinTimeout):
 		cancel()
-		return g.refuse(r, notFirstAttempt().ForAttempt())
+		return g.refuse(r, notFirstAttempt().WithAttemptNotRun())
 	}
 }
 
@@ -132,6 +132,6 @@
 		return
 	}
 	if err := <-done; err != nil {
-		b.Finish(answer.End{Problem: api.LeaveUnknown(api.ReasonIssuerUnreachable, "the link to the instance that runs the request broke (%v); repeat it with the same ID", err).WithRetryAfter(time.Second)})
+		b.Finish(answer.End{Problem: api.UnknownOutcome(api.ReasonIssuerUnreachable, "the link to the instance that runs the request broke (%v); repeat it with the same ID", err).WithRetryAfter(time.Second)})
 	}
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -51,7 +51,7 @@
 			linkless = time.Now()
 		}
 		if ctx.Err() != nil || time.Since(linkless) > forwardPatience {
-			p := api.LeaveUnknown(api.ReasonIssuerUnreachable, "the instance that issued the key can't be reached (%v); repeat the request with the same key later, or check what it did", err).WithRetryAfter(time.Second)
+			p := api.UnknownOutcome(api.ReasonIssuerUnreachable, "the instance that issued the key can't be reached (%v); repeat the request with the same key later, or check what it did", err).WithRetryAfter(time.Second)
 			return forAttempt(p, everSent)
 		}
 		if sent {
@@ -66,5 +66,5 @@
 	if sent {
 		return p
 	}
-	return p.ForAttempt()
+	return p.WithAttemptNotRun()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -113,7 +113,7 @@
 	case g.o.Issuer.Own(claims):
 		return g.serveIssued(s, r)
 	case claims.Issuer == g.o.Issuer.Address():
-		return g.refuse(r, issuerGone().ForAttempt())
+		return g.refuse(r, issuerGone().WithAttemptNotRun())
 	default:
 		return g.forward(ctx, claims, r)
 	}
@@ -145,7 +145,7 @@
 }
 
 func issuerGone() *api.Problem {
-	return api.LeaveUnknown(api.ReasonIssuerGone, "the instance that issued the key has ended; the request won't run from now on, but may have run: check before you send it under a new key")
+	return api.UnknownOutcome(api.ReasonIssuerGone, "the instance that issued the key has ended; the request won't run from now on, but may have run: check before you send it under a new key")
 }
 
 // refuse counts, logs and words a refusal that needs no dispatch.
--- a/internal/idempotency/register.go
+++ b/internal/idempotency/register.go
@@ -108,7 +108,7 @@
 	}
 	if now >= u.Expiry {
 		r.mu.Unlock()
-		return nil, false, api.LeaveUnknown(api.ReasonKeyExpired,
+		return nil, false, api.UnknownOutcome(api.ReasonKeyExpired,
 			"the key's lifetime is over and its earlier use is forgotten; it will not run from now on: check what it did before you ask for a new key")
 	}
 	e := &entry{use: u, buffer: answer.New(true)}
@@ -139,7 +139,7 @@
 			"the key was used for another request; use one key for one request, and send repeats unchanged")
 	}
 	if e.evicted {
-		return nil, false, api.LeaveUnknown(api.ReasonAnswerEvicted,
+		return nil, false, api.UnknownOutcome(api.ReasonAnswerEvicted,
 			"the request ran and was answered, but its answer is no longer held; look the result up at the service")
 	}
 	return e.buffer, false, nil
--- a/internal/listen/callers.go
+++ b/internal/listen/callers.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Callers bounds how many connections of callers are open, and still accepts new ones at the
+// LimitedListener bounds how many connections of callers are open, and still accepts new ones at the
 // bound: the connection that has been idle for longest makes room. While all are at work, a
 // new one is closed at once, unread, which tells its caller that nothing ran. An instance
 // that stopped accepting would leave callers waiting though it says that it is ready.
 //
 // State is the ConnState hook of the http.Server that serves the listener. Safe for
 // concurrent use.
-type Callers struct {
+type LimitedListener struct {
 	net.Listener
-	most int
-	// refused is called for each connection that is closed unread.
-	refused func()
+	maxConns int
+	// onRefused is called for each connection that is closed unread.
+	onRefused func()
 
 	mu   sync.Mutex
 	open map[net.Conn]struct{}
 	idle map[net.Conn]time.Time // since when nothing has been served on it
 }
 
-// NewCallers bounds a listener to so many open connections.
-func NewCallers(l net.Listener, most int, refused func()) *Callers {
-	return &Callers{Listener: l, most: most, refused: refused, open: map[net.Conn]struct{}{}, idle: map[net.Conn]time.Time{}}
+// NewLimitedListener bounds a listener to so many open connections.
+func NewLimitedListener(l net.Listener, most int, refused func()) *LimitedListener {
+	return &LimitedListener{Listener: l, maxConns: most, onRefused: refused, open: map[net.Conn]struct{}{}, idle: map[net.Conn]time.Time{}}
 }
 
 // Accept implements net.Listener.
-func (c *Callers) Accept() (net.Conn, error) {
+func (c *LimitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := c.Listener.Accept()
 		if err != nil {
@@ -40,16 +40,16 @@
 		if c.admit(conn) {
 			return conn, nil
 		}
-		c.refused()
+		c.onRefused()
 		_ = conn.Close() // nothing was read
 	}
 }
 
 // admit makes room for a connection, if it can.
-func (c *Callers) admit(conn net.Conn) bool {
+func (c *LimitedListener) admit(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) >= c.most && !c.closeIdle() {
+	if len(c.open) >= c.maxConns && !c.closeIdle() {
 		return false
 	}
 	c.open[conn] = struct{}{}
@@ -59,7 +59,7 @@
 
 // closeIdle closes the connection that has been idle for longest, if there is one. The
 // caller holds the lock.
-func (c *Callers) closeIdle() bool {
+func (c *LimitedListener) closeIdle() bool {
 	var longest net.Conn
 	for conn, since := range c.idle {
 		if longest == nil || since.Before(c.idle[longest]) {
@@ -69,19 +69,19 @@
 	if longest == nil {
 		return false
 	}
-	c.forget(longest)
+	c.remove(longest)
 	_ = longest.Close() // its caller sees the end
 	return true
 }
 
-// forget drops a connection that has ended. The caller holds the lock.
-func (c *Callers) forget(conn net.Conn) {
+// remove drops a connection that has ended. The caller holds the lock.
+func (c *LimitedListener) remove(conn net.Conn) {
 	delete(c.open, conn)
 	delete(c.idle, conn)
 }
 
-// State notes what a connection does. It is for http.Server.ConnState.
-func (c *Callers) State(conn net.Conn, s http.ConnState) {
+// ConnState notes what a connection does. It is for http.Server.ConnState.
+func (c *LimitedListener) ConnState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.open[conn]; !ok {
@@ -93,6 +93,6 @@
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
 	case http.StateClosed, http.StateHijacked:
-		c.forget(conn)
+		c.remove(conn)
 	}
 }
--- a/internal/listen/callers_test.go
+++ b/internal/listen/callers_test.go
@@ -30,9 +30,9 @@
 		t.Fatal(err)
 	}
 	b.address = l.Addr().String()
-	callers := NewCallers(l, most, func() { b.refused.Add(1) })
+	callers := NewLimitedListener(l, most, func() { b.refused.Add(1) })
 	state := func(conn net.Conn, now http.ConnState) {
-		callers.State(conn, now)
+		callers.ConnState(conn, now)
 		if now == http.StateIdle {
 			b.idle <- struct{}{}
 		}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -59,13 +59,13 @@
 	} {
 		t.Run(request, func(t *testing.T) {
 			is := is.New(t)
-			s := StoryOf(read(t), request)
+			s := TraceRequest(read(t), request)
 			is.Equal(len(s.Lines), want.lines)
 			if want.why == "" {
 				is.Equal(len(s.Causes), 0)
 				return
 			}
-			is.Equal(s.Causes[0].Why, want.why)
+			is.Equal(s.Causes[0].Explanation, want.why)
 			is.True(strings.Contains(s.Causes[0].Line.Text, want.text))
 		})
 	}
@@ -81,10 +81,10 @@
 time=2026-02-03T12:00:09.000Z instance=a event=upstreams version=6 changed="u gone" from="peer b"
 `))
 	is.NoErr(err)
-	s := StoryOf(lines, "1")
+	s := TraceRequest(lines, "1")
 	is.Equal(len(s.Causes), 2)
-	is.Equal(s.Causes[0].Why, "when b took u off its choice (leaving)")
-	is.Equal(s.Causes[1].Why, "when a took u off its choice (gone)")
+	is.Equal(s.Causes[0].Explanation, "when b took u off its choice (leaving)")
+	is.Equal(s.Causes[1].Explanation, "when a took u off its choice (gone)")
 	is.Equal(s.Causes[1].Line.Fields["from"], "peer b")
 }
 
@@ -98,20 +98,20 @@
 time=2026-02-03T12:00:04.000Z instance=a event=upstreams version=7 changed="u leaving" from=source
 `))
 	is.NoErr(err)
-	s := StoryOf(lines, "1")
+	s := TraceRequest(lines, "1")
 	is.Equal(len(s.Causes), 2)
-	is.Equal(s.Causes[1].Why, "when a took u back")
+	is.Equal(s.Causes[1].Explanation, "when a took u back")
 	is.Equal(s.Causes[1].Line.Fields["version"], "6")
 }
 
 func TestOutcomesAreCountedByArrival(t *testing.T) {
 	is := is.New(t)
-	o, err := OutcomesBy(read(t), "reason", time.Second)
+	o, err := CountOutcomes(read(t), "reason", time.Second)
 	is.NoErr(err)
 	is.Equal(len(o.Names), 3)
 	is.Equal(o.Counts["deadline_expired"], []int{1, 0, 0}) // it arrived 1.5 s before its end
 	is.Equal(o.Counts["organisation_limit"], []int{0, 0, 1})
-	is.Equal(o.Total(served), 1)
+	is.Equal(o.Total(answeredName), 1)
 	var svg bytes.Buffer
 	is.NoErr(o.WriteSVG(&svg))
 	is.True(strings.Contains(svg.String(), "<svg"))
@@ -121,7 +121,7 @@
 	is := is.New(t)
 	lines := read(t)
 	lines[1].Time = lines[1].Time.AddDate(100, 0, 0)
-	_, err := OutcomesBy(lines, "reason", time.Second)
+	_, err := CountOutcomes(lines, "reason", time.Second)
 	is.True(err != nil)
 }
 
@@ -132,7 +132,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, err := Read(strings.NewReader(text))
 		if err == nil {
-			_, _ = OutcomesBy(lines, "reason", time.Hour) // an error is as good
+			_, _ = CountOutcomes(lines, "reason", time.Hour) // an error is as good
 		}
 	})
 }
--- a/internal/logs/outcomes.go
+++ b/internal/logs/outcomes.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// served names requests that were answered, beside the reasons of the others.
-const served = "answered"
+// answeredName names requests that were answered, beside the reasons of the others.
+const answeredName = "answered"
 
 // Outcomes counts how requests ended, by the time at which they arrived and by one of their
 // fields.
@@ -26,14 +26,14 @@
 // maxSteps bounds what is counted: one wrong date would make a table of years.
 const maxSteps = 100_000
 
-// OutcomesBy counts the requests that ended, in steps, by a field of their last line; by
+// CountOutcomes counts the requests that ended, in steps, by a field of their last line; by
 // "reason" those that were answered are a reason, too. The error says that the lines span
 // too many steps.
-func OutcomesBy(lines []Line, field string, step time.Duration) (Outcomes, error) {
+func CountOutcomes(lines []Line, field string, step time.Duration) (Outcomes, error) {
 	o := Outcomes{Step: step, Counts: map[string][]int{}}
 	var last time.Time
-	for _, l := range ended(lines) {
-		arrived := arrival(l)
+	for _, l := range endedRequests(lines) {
+		arrived := arrivalTime(l)
 		if o.Start.IsZero() || arrived.Before(o.Start) {
 			o.Start = arrived
 		}
@@ -45,15 +45,15 @@
 	if steps > maxSteps {
 		return o, fmt.Errorf("the lines span %v, over %d steps; give a longer step, or fewer lines", last.Sub(o.Start), maxSteps)
 	}
-	for _, l := range ended(lines) {
+	for _, l := range endedRequests(lines) {
 		name := l.Fields[field]
 		if name == "" {
-			name = served
+			name = answeredName
 		}
 		if o.Counts[name] == nil {
 			o.Counts[name] = make([]int, steps)
 		}
-		o.Counts[name][arrival(l).Sub(o.Start)/step]++
+		o.Counts[name][arrivalTime(l).Sub(o.Start)/step]++
 	}
 	o.Names = slices.SortedFunc(maps.Keys(o.Counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(o.Total(b), o.Total(a)), cmp.Compare(a, b))
@@ -69,7 +69,7 @@
 	return n
 }
 
-func ended(lines []Line) []Line {
+func endedRequests(lines []Line) []Line {
 	var out []Line
 	for _, l := range lines {
 		if l.Event == "request_ended" {
@@ -79,5 +79,5 @@
 	return out
 }
 
-// arrival is when a request that ended had come.
-func arrival(l Line) time.Time { return l.Time.Add(-l.Milliseconds("took")) }
+// arrivalTime is when a request that ended had come.
+func arrivalTime(l Line) time.Time { return l.Time.Add(-l.Milliseconds("took")) }
--- a/internal/logs/story.go
+++ b/internal/logs/story.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Story is what logs tell of one request.
-type Story struct {
+// Trace is what logs tell of one request.
+type Trace struct {
 	// Lines are those that name it, in the order of their times.
 	Lines []Line
 	// Causes are what happened before, and may have decided how it ended.
@@ -17,67 +17,67 @@
 
 // Cause is a line that may explain how a request ended.
 type Cause struct {
-	Why  string
-	Line Line
+	Explanation string
+	Line        Line
 }
 
-// around is how far from a failed attempt others at the same upstream are looked for.
-const around = 2 * time.Second
+// failureWindow is how far from a failed attempt others at the same upstream are looked for.
+const failureWindow = 2 * time.Second
 
-// StoryOf returns the story of a request from lines in the order of their times. It has no
+// TraceRequest returns the story of a request from lines in the order of their times. It has no
 // lines if none names the request.
-func StoryOf(lines []Line, request string) Story {
-	var s Story
+func TraceRequest(lines []Line, request string) Trace {
+	var s Trace
 	for _, l := range lines {
 		if l.Fields["request"] == request {
 			s.Lines = append(s.Lines, l)
 		}
 	}
 	for _, l := range s.Lines {
-		s.Causes = append(s.Causes, causesOf(lines, l)...)
+		s.Causes = append(s.Causes, causesOfLine(lines, l)...)
 	}
-	for _, upstream := range upstreamsOf(s.Lines) {
-		s.Causes = append(s.Causes, leavingOf(lines, upstream)...)
+	for _, upstream := range upstreamsIn(s.Lines) {
+		s.Causes = append(s.Causes, upstreamChanges(lines, upstream)...)
 	}
 	return s
 }
 
-// causesOf looks for what decided on one line of a request.
-func causesOf(lines []Line, l Line) []Cause {
+// causesOfLine looks for what decided on one line of a request.
+func causesOfLine(lines []Line, l Line) []Cause {
 	if l.Event == "attempt_failed" {
-		return failuresAt(lines, l)
+		return otherFailures(lines, l)
 	}
 	if l.Event != "request_ended" {
 		return nil
 	}
 	switch l.Fields["reason"] {
 	case "organisation_limit":
-		return last(lines, l, "shard_owner", "service", "quota of "+l.Fields["organisation"], "who kept the organisation's bucket")
+		return lastEventBefore(lines, l, "shard_owner", "service", "quota of "+l.Fields["organisation"], "who kept the organisation's bucket")
 	case "deadline_expired", "displaced_by_higher_tier", "predicted_late", "queue_full", "no_upstream":
-		return last(lines, l, "shard_owner", "service", l.Fields["service"], "who scheduled the service's upstreams")
+		return lastEventBefore(lines, l, "shard_owner", "service", l.Fields["service"], "who scheduled the service's upstreams")
 	case "stale_configuration", "no_configuration":
-		return append(last(lines, l, "source_lost", "instance", l.Instance, "the store was lost"),
-			last(lines, l, "config_accepted", "instance", l.Instance, "the configuration in force")...)
+		return append(lastEventBefore(lines, l, "source_lost", "instance", l.Instance, "the store was lost"),
+			lastEventBefore(lines, l, "config_accepted", "instance", l.Instance, "the configuration in force")...)
 	case "no_route", "unknown_api_key":
-		return last(lines, l, "config_accepted", "instance", l.Instance, "the configuration in force")
+		return lastEventBefore(lines, l, "config_accepted", "instance", l.Instance, "the configuration in force")
 	}
 	return nil
 }
 
-// last returns the last line of an event, with a value, that its instance wrote before.
-func last(lines []Line, before Line, event, key, value, why string) []Cause {
+// lastEventBefore returns the lastEventBefore line of an event, with a value, that its instance wrote before.
+func lastEventBefore(lines []Line, before Line, event, key, value, why string) []Cause {
 	for i := len(lines) - 1; i >= 0; i-- {
 		l := lines[i]
 		if l.Time.After(before.Time) || l.Event != event || l.Instance != before.Instance || l.Fields[key] != value {
 			continue
 		}
-		return []Cause{{Why: why, Line: l}}
+		return []Cause{{Explanation: why, Line: l}}
 	}
 	return nil
 }
 
-// upstreamsOf returns the upstreams that lines of a request name, in order.
-func upstreamsOf(lines []Line) []string {
+// upstreamsIn returns the upstreams that lines of a request name, in order.
+func upstreamsIn(lines []Line) []string {
 	var out []string
 	for _, l := range lines {
 		if u := l.Fields["upstream"]; u != "" && !slices.Contains(out, u) {
@@ -87,29 +87,29 @@
 	return out
 }
 
-// leavingOf returns, for each instance, the first line that says that an upstream leaves or
+// upstreamChanges returns, for each instance, the first line that says that an upstream leaves or
 // isn't listed any more, and the first one that takes it back. An instance that sent to it later
 // than others heard of it was late, or had taken it back.
-func leavingOf(lines []Line, upstream string) []Cause {
+func upstreamChanges(lines []Line, upstream string) []Cause {
 	var out []Cause
 	told := map[string]int{} // by instance: the lines that were taken
 	for _, l := range lines {
-		state := changedTo(l, upstream)
+		state := changedState(l, upstream)
 		switch ready := state == "ready"; {
 		case state == "":
 		case !ready && told[l.Instance] == 0:
 			told[l.Instance]++
-			out = append(out, Cause{Why: fmt.Sprintf("when %s took %s off its choice (%s)", l.Instance, upstream, state), Line: l})
+			out = append(out, Cause{Explanation: fmt.Sprintf("when %s took %s off its choice (%s)", l.Instance, upstream, state), Line: l})
 		case ready && told[l.Instance] == 1:
 			told[l.Instance]++
-			out = append(out, Cause{Why: fmt.Sprintf("when %s took %s back", l.Instance, upstream), Line: l})
+			out = append(out, Cause{Explanation: fmt.Sprintf("when %s took %s back", l.Instance, upstream), Line: l})
 		}
 	}
 	return out
 }
 
-// changedTo returns the state to which a line says that an upstream has changed, or "".
-func changedTo(l Line, upstream string) string {
+// changedState returns the state to which a line says that an upstream has changed, or "".
+func changedState(l Line, upstream string) string {
 	if l.Event != "upstreams" {
 		return ""
 	}
@@ -121,17 +121,17 @@
 	return ""
 }
 
-// failuresAt counts the other attempts that failed at the same upstream about then.
-func failuresAt(lines []Line, failed Line) []Cause {
+// otherFailures counts the other attempts that failed at the same upstream about then.
+func otherFailures(lines []Line, failed Line) []Cause {
 	n := 0
 	for _, l := range lines {
 		same := l.Event == "attempt_failed" && l.Fields["upstream"] == failed.Fields["upstream"] && l.Fields["request"] != failed.Fields["request"]
-		if same && l.Time.Sub(failed.Time).Abs() <= around {
+		if same && l.Time.Sub(failed.Time).Abs() <= failureWindow {
 			n++
 		}
 	}
 	if n == 0 {
 		return nil
 	}
-	return []Cause{{Why: fmt.Sprintf("%d other attempts to %s failed within %v", n, failed.Fields["upstream"], around), Line: failed}}
+	return []Cause{{Explanation: fmt.Sprintf("%d other attempts to %s failed within %v", n, failed.Fields["upstream"], failureWindow), Line: failed}}
 }
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -311,11 +311,11 @@
 			Draining:    k.Draining,
 			Reachable:   k.Reachable,
 			Cores:       k.Cores,
-			Started:     boottime.Steady(k.Started),
+			Started:     boottime.ToMonotonic(k.Started),
 		}
 		if p := m.peers[k.Address]; p != nil {
 			s.Linked = m.liveLink(k.Address, p) != nil
-			s.LastSeen = boottime.Steady(p.lastSeen)
+			s.LastSeen = boottime.ToMonotonic(p.lastSeen)
 			s.Revision = p.lastHeartbeat.Revision
 			s.InFlight = p.lastHeartbeat.InFlight
 			s.ReadsSource = p.lastHeartbeat.ReadsSource
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -40,7 +40,7 @@
 			Zone:        p.hello.Zone,
 			Incarnation: p.hello.Incarnation,
 			Linked:      p.link != nil,
-			LastSeen:    boottime.Steady(p.lastSeen),
+			LastSeen:    boottime.ToMonotonic(p.lastSeen),
 			Revision:    p.lastHeartbeat.Revision,
 			Draining:    p.lastHeartbeat.Draining,
 			ReadsSource: p.lastHeartbeat.ReadsSource,
@@ -48,7 +48,7 @@
 			Queued:      p.lastHeartbeat.Queued,
 			Reachable:   m.isReachable(p),
 			Cores:       p.hello.Cores,
-			Started:     boottime.Steady(p.started),
+			Started:     boottime.ToMonotonic(p.started),
 		})
 	}
 	sortByAddress(out)
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -256,17 +256,17 @@
 	case notRun, misdirected:
 		return j.markPossiblyRun(api.Refuse(api.ReasonUpstreamRefused, "the upstream refused the request (%v); retry after the given time", r.err).WithRetryAfter(j.retryAfter()))
 	case upstreamFailed:
-		return api.LeaveUnknown(api.ReasonUpstreamLost, "the upstream responded with a failure: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamLost, "the upstream responded with a failure: %v", r.err)
 	case invalidResponse:
-		return api.LeaveUnknown(api.ReasonUpstreamGarbage, "the upstream's response is invalid: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamGarbage, "the upstream's response is invalid: %v", r.err)
 	case truncated:
-		return api.LeaveUnknown(api.ReasonUpstreamCut, "the upstream's response was truncated: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamCut, "the upstream's response was truncated: %v", r.err)
 	case callerDisconnected:
-		return api.LeaveUnknown(api.ReasonCallerGone, "the caller closed the connection")
+		return api.UnknownOutcome(api.ReasonCallerGone, "the caller closed the connection")
 	case deadlineExceeded:
-		return api.LeaveUnknown(api.ReasonUpstreamTimeout, "the deadline passed while an upstream was processing the request")
+		return api.UnknownOutcome(api.ReasonUpstreamTimeout, "the deadline passed while an upstream was processing the request")
 	default:
-		return api.LeaveUnknown(api.ReasonUpstreamLost, "the connection failed after the request was sent: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamLost, "the connection failed after the request was sent: %v", r.err)
 	}
 }
 
@@ -276,9 +276,9 @@
 	case p.Outcome != api.NotRun || !j.mayHaveRun:
 		return p
 	case p.Reason == api.ReasonDeadlineExpired:
-		return api.LeaveUnknown(api.ReasonUpstreamTimeout, "an earlier attempt may have run: %s", p.Detail)
+		return api.UnknownOutcome(api.ReasonUpstreamTimeout, "an earlier attempt may have run: %s", p.Detail)
 	default:
-		return api.LeaveUnknown(api.ReasonUpstreamLost, "an earlier attempt may have run: %s", p.Detail)
+		return api.UnknownOutcome(api.ReasonUpstreamLost, "an earlier attempt may have run: %s", p.Detail)
 	}
 }
 
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -328,7 +328,7 @@
 // writeUpstreamFailure relays the failure that was kept while another upstream was tried.
 func (j *job) writeUpstreamFailure() *api.Problem {
 	if r := j.writeResponse(j.failure); r.status != completed {
-		return api.LeaveUnknown(api.ReasonCallerGone, "the caller closed the connection")
+		return api.UnknownOutcome(api.ReasonCallerGone, "the caller closed the connection")
 	}
 	return nil
 }
--- a/internal/settings/provision.go
+++ b/internal/settings/provision.go
@@ -36,15 +36,15 @@
 // ReservedFiles is the number of descriptors that are kept for files.
 const ReservedFiles = 200
 
-// maxProveEvery bounds how rarely reads prove what is believed: the lease that they renew is
+// maxProofInterval bounds how rarely reads prove what is believed: the lease that they renew is
 // some seconds.
-const maxProveEvery = Duration(1500 * time.Millisecond)
+const maxProofInterval = Duration(1500 * time.Millisecond)
 
 func (r *Routed) provision() {
 	r.Lease = cmp.Or(r.Lease, Duration(5*time.Second))
 	r.StaleKeys = cmp.Or(r.StaleKeys, RefuseStaleKeys)
 	r.LeaveWithin = cmp.Or(r.LeaveWithin, Duration(2*time.Second))
-	r.ProveEvery = cmp.Or(r.ProveEvery, min(r.LeaveWithin/2, maxProveEvery))
+	r.ProveEvery = cmp.Or(r.ProveEvery, min(r.LeaveWithin/2, maxProofInterval))
 	r.InForce = cmp.Or(r.InForce, Duration(2*time.Second))
 	r.Settle = cmp.Or(r.Settle, Duration(2*time.Second))
 	r.UpstreamHeartbeat = cmp.Or(r.UpstreamHeartbeat, Duration(time.Second))
@@ -83,15 +83,15 @@
 	}
 	c.address("/callers/address", s.Callers.Address)
 	c.address("/peers/address", s.Peers.Address)
-	c.reachable("/peers/advertise", s.Peers.Advertise)
+	c.dialAddress("/peers/advertise", s.Peers.Advertise)
 	for i, seed := range s.Peers.Seeds {
-		c.reachable(fmt.Sprintf("/peers/seeds/%d", i), seed)
+		c.dialAddress(fmt.Sprintf("/peers/seeds/%d", i), seed)
 	}
 	c.tls("/callers/tls", s.Callers.TLS)
 	c.tls("/operators/tls", s.Operators.TLS)
 	c.tls("/peers/tls", s.Peers.TLS)
-	c.source(s)
-	c.numbers(s)
+	c.configSource(s)
+	c.ranges(s)
 	if len(c.faults) == 0 {
 		return nil
 	}
@@ -110,8 +110,8 @@
 	}
 }
 
-// reachable checks an address that others connect to.
-func (c *checker) reachable(path, text string) {
+// dialAddress checks an address that others connect to.
+func (c *checker) dialAddress(path, text string) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
 		c.add(path, "is %q; write the IP:port at which peers reach it", text)
@@ -134,8 +134,8 @@
 	}
 }
 
-// source checks where the configuration comes from and who may see it.
-func (c *checker) source(s *Settings) {
+// configSource checks where the configuration comes from and who may see it.
+func (c *checker) configSource(s *Settings) {
 	if s.Routed != nil {
 		c.routed(s.Routed)
 		return
@@ -146,7 +146,7 @@
 }
 
 func (c *checker) routed(r *Routed) {
-	c.reachable("/routed/store", r.Store)
+	c.dialAddress("/routed/store", r.Store)
 	c.address("/routed/ready", r.Ready)
 	c.address("/routed/metrics", r.Metrics)
 	if _, err := netip.ParseAddr(r.LocalIP); r.LocalIP != "" && err != nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (c *checker) numbers(s *Settings) {
+func (c *checker) ranges(s *Settings) {
 	c.positive("/callers/maxBodyBytes", s.Callers.MaxBodyBytes)
 	c.positive("/callers/maxHeaderBytes", int64(s.Callers.MaxHeaderBytes))
 	c.positive("/callers/maxInFlight", int64(s.Callers.MaxInFlight))
--- a/internal/slopes/parts.go
+++ b/internal/slopes/parts.go
@@ -81,18 +81,18 @@
 		var refs []api.PartReference
 		for i := range parts {
 			content := partDocument(i, n/parts)
-			contents[config.SumPart(content)] = content
-			refs = append(refs, api.PartReference{Key: fmt.Sprint(i), SHA256: config.SumPart(content)})
+			contents[config.HashPart(content)] = content
+			refs = append(refs, api.PartReference{Key: fmt.Sprint(i), SHA256: config.HashPart(content)})
 		}
 		other := partDocument(parts, n/parts)
-		contents[config.SumPart(other)] = other
+		contents[config.HashPart(other)] = other
 		revision := int64(0)
 		changes := watch.NewLog()
 		return timeOf(func() {
 			revision++
 			changed := slices.Clone(refs)
 			if revision%2 == 0 {
-				changed[0].SHA256 = config.SumPart(other)
+				changed[0].SHA256 = config.HashPart(other)
 			}
 			if _, err := h.Offer(time.Now(), revision, mainDocument(changed), contents); err != nil {
 				panic("slopes: the document is valid: " + err.Error())
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// boundedLines is how many lines may wait to be written: some seconds of a busy
+	// maxQueuedLines is how many lines may wait to be written: some seconds of a busy
 	// instance's.
-	boundedLines = 4096
+	maxQueuedLines = 4096
 	// batchBytes bounds what is written at once.
 	batchBytes = 32 << 10
 )
 
-// Bounded writes lines in the background. A line for which there is no room is
+// AsyncWriter writes lines in the background. A line for which there is no room is
 // dropped and counted, so that whoever logs never waits. Safe for concurrent use.
-type Bounded struct {
-	to      io.Writer
+type AsyncWriter struct {
+	dest    io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	ended   sync.WaitGroup
+	stopped sync.WaitGroup
 	once    sync.Once
 	done    chan struct{}
 }
 
-// NewBounded returns a writer to another one, which may block.
-func NewBounded(to io.Writer) *Bounded {
-	b := &Bounded{to: to, lines: make(chan []byte, boundedLines), done: make(chan struct{})}
-	b.ended.Go(b.run)
+// NewAsyncWriter returns a writer to another one, which may block.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	b := &AsyncWriter{dest: to, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
+	b.stopped.Go(b.run)
 	return b
 }
 
 // Write implements io.Writer for one whole line. It never blocks.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- bytes.Clone(line):
 	default:
@@ -45,15 +45,15 @@
 }
 
 // Dropped returns how many lines were dropped.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *AsyncWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes what waits and ends. Lines written later are dropped.
-func (b *Bounded) Close() {
+func (b *AsyncWriter) Close() {
 	b.once.Do(func() { close(b.done) })
-	b.ended.Wait()
+	b.stopped.Wait()
 }
 
-func (b *Bounded) run() {
+func (b *AsyncWriter) run() {
 	told := int64(0)
 	for {
 		select {
@@ -69,7 +69,7 @@
 }
 
 // batch adds the lines that wait to a first one.
-func (b *Bounded) batch(out []byte) []byte {
+func (b *AsyncWriter) batch(out []byte) []byte {
 	for len(out) < batchBytes {
 		select {
 		case line := <-b.lines:
@@ -82,11 +82,11 @@
 }
 
 // write writes lines, and says how many were dropped since the last time.
-func (b *Bounded) write(out []byte, told int64) int64 {
+func (b *AsyncWriter) write(out []byte, told int64) int64 {
 	dropped := b.dropped.Load()
 	if dropped > told {
 		out = fmt.Appendf(out, "event=log_lines_dropped count=%d\n", dropped-told)
 	}
-	_, _ = b.to.Write(out) // there is nowhere else to tell it
+	_, _ = b.dest.Write(out) // there is nowhere else to tell it
 	return dropped
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -22,15 +22,15 @@
 func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
 	is := is.New(t)
 	to := &stalled{release: make(chan struct{})}
-	b := NewBounded(to)
-	for range 3 * boundedLines { // would never return if it waited
+	b := NewAsyncWriter(to)
+	for range 3 * maxQueuedLines { // would never return if it waited
 		_, err := b.Write([]byte("event=x\n"))
 		is.NoErr(err)
 	}
-	is.True(b.Dropped() >= boundedLines)
+	is.True(b.Dropped() >= maxQueuedLines)
 	close(to.release)
 	b.Close()
 	is.True(strings.Contains(to.String(), "event=log_lines_dropped count="))
 	written := int64(strings.Count(to.String(), "event=x"))
-	is.Equal(written+b.Dropped(), int64(3*boundedLines)) // each is written or counted
+	is.Equal(written+b.Dropped(), int64(3*maxQueuedLines)) // each is written or counted
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -44,20 +44,20 @@
 // Log remembers the latest changes. Safe for concurrent use.
 type Log struct {
 	mu       sync.Mutex
-	current  map[id]any // resources as declared
+	current  map[resourceKey]any // resources as declared
 	revision int64
 	oldest   int64 // changes after this revision are all known
 	events   []Event
 	changed  chan struct{}
 }
 
-type id struct {
+type resourceKey struct {
 	kind api.Kind
 	name string
 }
 
 // NewLog returns an empty log.
-func NewLog() *Log { return &Log{current: map[id]any{}, changed: make(chan struct{})} }
+func NewLog() *Log { return &Log{current: map[resourceKey]any{}, changed: make(chan struct{})} }
 
 // Add takes the next accepted snapshot.
 func (l *Log) Add(s *config.Snapshot) {
@@ -120,7 +120,7 @@
 	return out
 }
 
-func diff(old, next map[id]any, revision int64) []Event {
+func diff(old, next map[resourceKey]any, revision int64) []Event {
 	var out []Event
 	for key, resource := range next {
 		before, existed := old[key]
@@ -140,19 +140,19 @@
 }
 
 // flatten lists the resources by name. They point into the document.
-func flatten(d *api.Document) map[id]any {
-	out := make(map[id]any, len(d.Organisations)+len(d.Tiers)+len(d.EngineSets)+len(d.Services))
+func flatten(d *api.Document) map[resourceKey]any {
+	out := make(map[resourceKey]any, len(d.Organisations)+len(d.Tiers)+len(d.EngineSets)+len(d.Services))
 	for i := range d.Organisations {
-		out[id{api.KindOrganisation, d.Organisations[i].Metadata.Name}] = &d.Organisations[i]
+		out[resourceKey{api.KindOrganisation, d.Organisations[i].Metadata.Name}] = &d.Organisations[i]
 	}
 	for i := range d.Tiers {
-		out[id{api.KindTier, d.Tiers[i].Metadata.Name}] = &d.Tiers[i]
+		out[resourceKey{api.KindTier, d.Tiers[i].Metadata.Name}] = &d.Tiers[i]
 	}
 	for i := range d.EngineSets {
-		out[id{api.KindEngineSet, d.EngineSets[i].Metadata.Name}] = &d.EngineSets[i]
+		out[resourceKey{api.KindEngineSet, d.EngineSets[i].Metadata.Name}] = &d.EngineSets[i]
 	}
 	for i := range d.Services {
-		out[id{api.KindService, d.Services[i].Metadata.Name}] = &d.Services[i]
+		out[resourceKey{api.KindService, d.Services[i].Metadata.Name}] = &d.Services[i]
 	}
 	return out
 }
--- a/tools/docgen/main.go
+++ b/tools/docgen/main.go
@@ -51,7 +51,7 @@
 			os.Exit(1)
 		}
 	}
-	if err := reasons(*check); err != nil {
+	if err := writeReasonsPage(*check); err != nil {
 		fmt.Fprintln(os.Stderr, "docgen:", err)
 		os.Exit(1)
 	}
@@ -62,8 +62,8 @@
 	reasonsSource = "api/outcome.go"
 )
 
-// reasons writes the page of refusal and retry reasons from the constants' comments.
-func reasons(check bool) error {
+// writeReasonsPage writes the page of refusal and retry writeReasonsPage from the constants' comments.
+func writeReasonsPage(check bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), reasonsSource, nil, parser.ParseComments)
 	if err != nil {
 		return err
@@ -73,13 +73,13 @@
 	out.WriteString("Each refusal, unknown outcome and retry has one of these reasons: in the answer's\n`reason`, in the log's `reason=`, and as the label of its counter\n(`tacktally_refusals_total`, `tacktally_retries_total`).\n")
 	for _, decl := range file.Decls {
 		if block, ok := decl.(*ast.GenDecl); ok && block.Tok == token.CONST && block.Lparen.IsValid() {
-			writeReasons(&out, block)
+			writeReasonTable(&out, block)
 		}
 	}
 	return write(reasonsPath, reasonsSource, out.Bytes(), check)
 }
 
-func writeReasons(out *bytes.Buffer, block *ast.GenDecl) {
+func writeReasonTable(out *bytes.Buffer, block *ast.GenDecl) {
 	first := block.Specs[0].(*ast.ValueSpec)
 	if kind, ok := first.Type.(*ast.Ident); !ok || kind.Name != "Reason" {
 		return
@@ -170,8 +170,8 @@
 	return name
 }
 
-// words names Go types for operators.
-var words = map[string]string{
+// typeNames names Go types for operators.
+var typeNames = map[string]string{
 	"string": "text", "bool": "true or false", "int": "whole number", "int64": "whole number",
 	"float64": "number", "Duration": "duration", "CallerIDPolicy": "text",
 }
@@ -180,7 +180,7 @@
 func describe(e ast.Expr) (words, inner string) {
 	switch t := e.(type) {
 	case *ast.Ident:
-		return wordOf(t.Name), t.Name
+		return typeName(t.Name), t.Name
 	case *ast.StarExpr:
 		w, inner := describe(t.X)
 		return w, inner
@@ -192,8 +192,8 @@
 	}
 }
 
-func wordOf(name string) string {
-	if w, ok := words[name]; ok {
+func typeName(name string) string {
+	if w, ok := typeNames[name]; ok {
 		return w
 	}
 	return "object"
--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -33,7 +33,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("the list of known failures isn't readable: %w", err)
 	}
-	names, err := namesIn(string(list))
+	names, err := parseNames(string(list))
 	if err != nil {
 		return err
 	}
@@ -49,17 +49,17 @@
 	return nil
 }
 
-// aName is what a line of the list begins with.
-var aName = regexp.MustCompile(`^(Test\w+(?:/\w+)*) \(`)
+// namePattern is what a line of the list begins with.
+var namePattern = regexp.MustCompile(`^(Test\w+(?:/\w+)*) \(`)
 
-// namesIn returns the tests that a list names. A line that names none is an error: it would pass
+// parseNames returns the tests that a list names. A line that names none is an error: it would pass
 // over nothing, or too much.
-func namesIn(list string) (names []string, err error) {
+func parseNames(list string) (names []string, err error) {
 	for line := range strings.Lines(list) {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		name := aName.FindStringSubmatch(line)
+		name := namePattern.FindStringSubmatch(line)
 		if name == nil {
 			return nil, fmt.Errorf("%s: begin each line with a test's name and its command in brackets, not with %.40q", knownRed, line)
 		}
@@ -68,8 +68,8 @@
 	return names, nil
 }
 
-// skipping is the pattern that matches some tests, or subtests by their paths, and no others.
-func skipping(names []string) string {
+// skipPattern is the pattern that matches some tests, or subtests by their paths, and no others.
+func skipPattern(names []string) string {
 	var patterns []string
 	for _, name := range names {
 		path := strings.Split(name, "/")
@@ -82,7 +82,7 @@
 func arguments(passedOver, more []string) []string {
 	out := []string{"test", "-race"}
 	if len(passedOver) > 0 {
-		out = append(out, "-skip", skipping(passedOver))
+		out = append(out, "-skip", skipPattern(passedOver))
 	}
 	return append(append(out, more...), packages...)
 }
--- a/tools/suite/main_test.go
+++ b/tools/suite/main_test.go
@@ -20,7 +20,7 @@
 		"a whole group": {"Test.* (go test ./...): fails\n", nil, "begin each line"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			names, err := namesIn(c.list)
+			names, err := parseNames(c.list)
 			if !slices.Equal(names, c.names) {
 				t.Errorf("names %v, want %v", names, c.names)
 			}
