--- a/internal/settings/provision.go
+++ b/internal/settings/provision.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Provision fills in the defaults.
+// Provision sets the settings that are absent to their defaults.
 func (s *Settings) Provision() {
 	s.Callers.provision()
 	s.Peers.provision()
@@ -33,11 +33,12 @@
 	}
 }
 
-// ReservedFiles is the number of descriptors that are kept for files.
+// ReservedFiles is the number of file descriptors that are reserved for other uses than callers'
+// connections.
 const ReservedFiles = 200
 
-// maxProofInterval bounds how rarely reads prove what is believed: the lease that they renew is
-// some seconds.
+// maxProofInterval is the maximum default of Routed.ProveEvery: the reads renew a lease of a few
+// seconds.
 const maxProofInterval = Duration(1500 * time.Millisecond)
 
 func (r *Routed) provision() {
@@ -75,7 +76,7 @@
 	p.SuspectAfter = cmp.Or(p.SuspectAfter, Duration(2*time.Second))
 }
 
-// Validate checks provisioned settings and returns Faults or nil.
+// Validate checks provisioned settings. The error is nil or of type Faults.
 func (s *Settings) Validate() error {
 	c := &checker{}
 	if s.Zone == "" {
@@ -110,11 +111,11 @@
 	}
 }
 
-// dialAddress checks an address that others connect to.
+// dialAddress checks an address that is connected to: it needs a port and a specific IP.
 func (c *checker) dialAddress(path, text string) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		c.add(path, "is %q; write the IP:port at which peers reach it", text)
+		c.add(path, "is %q; write the IP:port at which it can be reached", text)
 	}
 }
 
@@ -134,7 +135,7 @@
 	}
 }
 
-// configSource checks where the configuration comes from and who may see it.
+// configSource checks the source of the configuration and the access of operators to it.
 func (c *checker) configSource(s *Settings) {
 	if s.Routed != nil {
 		c.routed(s.Routed)
@@ -150,7 +151,7 @@
 	c.address("/routed/ready", r.Ready)
 	c.address("/routed/metrics", r.Metrics)
 	if _, err := netip.ParseAddr(r.LocalIP); r.LocalIP != "" && err != nil {
-		c.add("/routed/localIP", "is %q; write an IP number, such as 10.0.0.5", r.LocalIP)
+		c.add("/routed/localIP", "is %q; write an IP address, such as 10.0.0.5", r.LocalIP)
 	}
 	c.positive("/routed/lease", int64(r.Lease))
 	if r.StaleKeys != RefuseStaleKeys && r.StaleKeys != ServeStaleKeys {
@@ -159,14 +160,14 @@
 	c.positive("/routed/leaveWithin", int64(r.LeaveWithin))
 	c.positive("/routed/proveEvery", int64(r.ProveEvery))
 	if r.ProveEvery >= r.Lease {
-		c.add("/routed/proveEvery", "is no less than the lease; lower it, or no key is ever accepted")
+		c.add("/routed/proveEvery", "is not below the lease; lower it, since otherwise no API key is ever accepted")
 	}
 	if r.ProveEvery >= r.LeaveWithin {
-		c.add("/routed/proveEvery", "is no less than leaveWithin; lower it, or upstreams that left may get requests for longer")
+		c.add("/routed/proveEvery", "is not below leaveWithin; lower it, since otherwise leaving upstreams may get requests for longer")
 	}
 	c.positive("/routed/evacuateWithin", int64(r.EvacuateWithin))
 	if r.ProveEvery >= r.EvacuateWithin {
-		c.add("/routed/proveEvery", "is no less than evacuateWithin; lower it, or zones that are evacuated may get requests for longer")
+		c.add("/routed/proveEvery", "is not below evacuateWithin; lower it, since otherwise evacuated zones may get requests for longer")
 	}
 	if r.ColdOverage < 0 || r.ColdSlack < 0 {
 		c.add("/routed", "has a negative coldOverage or coldSlack; set 0 or more")
@@ -178,10 +179,10 @@
 	c.positive("/routed/retryWindow", int64(r.RetryWindow))
 	c.positive("/routed/memoryMB", int64(r.MemoryMB))
 	if r.MaxFiles <= ReservedFiles {
-		c.add("/routed/maxFiles", "is %d; allow more than the %d that aren't connections", r.MaxFiles, ReservedFiles)
+		c.add("/routed/maxFiles", "is %d; allow more than the %d that are reserved for other uses", r.MaxFiles, ReservedFiles)
 	}
 	if r.Cores < 0 {
-		c.add("/routed/cores", "is %g; set the cores that the process has, such as 0.4", r.Cores)
+		c.add("/routed/cores", "is %g; set the number of cores of the process, such as 0.4", r.Cores)
 	}
 	if r.RetryShare < 0 || r.RetryShare > 1 {
 		c.add("/routed/retryShare", "is %g; set a share from 0 to 1", r.RetryShare)
@@ -217,7 +218,7 @@
 	c.positive("/upstreams/subset", int64(s.Upstreams.Subset))
 	c.positive("/upstreams/weightLoadsPerMinute", int64(s.Upstreams.WeightLoadsPerMinute))
 	if s.Peers.SuspectAfter < 2*s.Peers.Heartbeat {
-		c.add("/peers/suspectAfter", "is less than two heartbeats; raise it")
+		c.add("/peers/suspectAfter", "is less than two heartbeat intervals; raise it")
 	}
 	if s.Upstreams.RetryBudget < 0 || s.Upstreams.RetryBudget > 1 {
 		c.add("/upstreams/retryBudget", "is %g; set a share from 0 to 1", s.Upstreams.RetryBudget)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,16 +9,16 @@
 	"github.com/matryer/is"
 )
 
-func TestExampleLoads(t *testing.T) {
+func TestLoadAcceptsExample(t *testing.T) {
 	is := is.New(t)
 	s, err := Load("../../examples/tacktallyd.json")
 	is.NoErr(err)
 	is.Equal(s.Zone, "bole")
-	is.Equal(time.Duration(s.Peers.Heartbeat), 500*time.Millisecond) // a default
+	is.Equal(time.Duration(s.Peers.Heartbeat), 500*time.Millisecond) // the default
 	is.Equal(s.Peers.Advertise, s.Peers.Address)
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestParseReportsAllFaultsAtOnce(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`{
 		"callers": {"address": "localhost"},
@@ -39,9 +39,9 @@
 	is.Equal(len(f), 8)
 }
 
-func TestUnknownSettingIsNamed(t *testing.T) {
+func TestParseErrorsNameTheSettingOrRemedy(t *testing.T) {
 	for text, want := range map[string]string{
-		`{"zone": "a", "quee": {}}`:              "/quee: is no known setting",
+		`{"zone": "a", "quee": {}}`:              "/quee: unknown setting",
 		`{"drain": {"timeout": "5 minutes"}}`:    "write a number and a unit",
 		`{"zone": "a"`:                           "not valid",
 		`{"callers": {"maxBodyBytes": "a lot"}}`: "not valid",
