--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -12,22 +12,22 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// MaxDocumentBytes is the largest value the platform's service holds.
+// MaxDocumentBytes is the maximum size of a value at the platform's configuration service.
 const MaxDocumentBytes = 1 << 20
 
-// FieldError is one fault of a document: where it is and what mends it.
+// FieldError is a fault in one field of a document.
 type FieldError struct {
 	// Path is a JSON pointer (RFC 6901), such as /tiers/0/spec/rank.
 	Path string `json:"path"`
-	// Message says what is wrong and names the remedy.
+	// Message describes the fault and the remedy.
 	Message string `json:"message"`
 }
 
 // Error implements error.
 func (e FieldError) Error() string { return e.Path + ": " + e.Message }
 
-// RejectedError lists every fault found in a document. Its order is that of the
-// document, so that equal documents give equal errors on every instance.
+// RejectedError lists all faults found in a document, in the order of the document,
+// so that identical documents give identical errors on every instance.
 type RejectedError struct {
 	Faults []FieldError
 }
@@ -41,8 +41,8 @@
 	return "document rejected: " + strings.Join(lines, "; ")
 }
 
-// Decode reads a document strictly: unknown fields, duplicate fields, wrong
-// types and trailing data are rejected with the path of the field.
+// Decode decodes a document. Unknown fields, duplicate fields, wrong types and
+// trailing data are rejected with the path of the field.
 func Decode(content []byte) (*api.Document, error) {
 	var doc api.Document
 	if err := decodeStrict(content, &doc); err != nil {
@@ -53,7 +53,7 @@
 
 func decodeStrict(content []byte, into any) *RejectedError {
 	if len(content) > MaxDocumentBytes {
-		return rejected("", fmt.Sprintf("is %d bytes; publish at most %d, with organisations in parts", len(content), MaxDocumentBytes))
+		return rejected("", fmt.Sprintf("is %d bytes; publish at most %d, and move organisations to parts", len(content), MaxDocumentBytes))
 	}
 	if err := json.Unmarshal(content, into, json.RejectUnknownMembers(true)); err != nil {
 		return decodeFault(err)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// withPathPrefix returns the faults with a path before theirs.
+// withPathPrefix prepends a path to the paths of the faults, and returns e.
 func (e *RejectedError) withPathPrefix(path string) *RejectedError {
 	for i := range e.Faults {
 		e.Faults[i].Path = path + e.Faults[i].Path
@@ -76,22 +76,22 @@
 	}
 	var syntactic *jsontext.SyntacticError
 	if errors.As(err, &syntactic) {
-		return rejected(string(syntactic.JSONPointer), fmt.Sprintf("is not valid JSON at byte %d (%v); mend the syntax", syntactic.ByteOffset, syntactic.Err))
+		return rejected(string(syntactic.JSONPointer), fmt.Sprintf("is not valid JSON at byte %d (%v); correct the syntax", syntactic.ByteOffset, syntactic.Err))
 	}
-	return rejected("", fmt.Sprintf("is not valid JSON (%v); mend the syntax", err))
+	return rejected("", fmt.Sprintf("is not valid JSON (%v); correct the syntax", err))
 }
 
 func semanticMessage(e *json.SemanticError) string {
 	if errors.Is(e.Err, json.ErrUnknownName) {
-		return "is no known field; remove it or correct its name"
+		return "unknown field; remove it or correct its name"
 	}
 	if e.Err != nil {
-		return fmt.Sprintf("holds an unfit value (%v); see the resource reference for its type", e.Err)
+		return fmt.Sprintf("has an invalid value (%v); see the resource reference for its type", e.Err)
 	}
-	return fmt.Sprintf("holds %s where %s is wanted; see the resource reference", jsonKindNames[e.JSONKind], goKindNames[e.GoType.Kind()])
+	return fmt.Sprintf("has %s where %s is expected; see the resource reference", jsonKindNames[e.JSONKind], goKindNames[e.GoType.Kind()])
 }
 
-// jsonKindNames names what stands in a document, goKindNames what is wanted there.
+// jsonKindNames describes the kind of a JSON value, goKindNames the kind that a field expects.
 var (
 	jsonKindNames = map[jsontext.Kind]string{
 		'n': "null", 't': "true", 'f': "false", '"': "a string", '0': "a number", '{': "an object", '[': "an array",
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,8 +1,9 @@
 // Package config turns the document that operators publish into the snapshot
-// that requests are served under.
+// under which requests are served.
 //
-// Decode and Validate are pure functions of the document's bytes: every
-// instance accepts or rejects the same content with the same reason, without
-// talking to another. Holder keeps the highest accepted revision and never goes
-// back. A Snapshot is immutable; a request keeps the one it started under.
+// Decoding and validation are pure functions of the bytes of the document and its
+// parts: every instance accepts or rejects the same content with the same error,
+// without communicating with another. Holder keeps the highest accepted revision and
+// never returns to a lower one. A Snapshot is immutable; a request uses the one under
+// which it started.
 package config
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Errors of Holder.Offer beside *RejectedError.
+// Errors of Holder.Offer, besides *RejectedError and *MissingPartsError.
 var (
-	// ErrOlderRevision: the value is older than one already accepted. The
-	// source is stale; nothing is to be done unless it stays so.
+	// ErrOlderRevision is returned for a value that is older than the accepted one. Its
+	// source is stale; no action is needed unless it stays so.
 	ErrOlderRevision = errors.New("older than the accepted revision; it is ignored")
-	// ErrConflict: one revision with two contents. Publish a new revision.
-	ErrConflict = errors.New("another content was seen under this revision; publish under a new revision")
+	// ErrConflict is returned for a value whose revision was accepted with other content.
+	// Publish the value under a new revision.
+	ErrConflict = errors.New("this revision was accepted with other content; publish under a new revision")
 )
 
-// Holder keeps the highest accepted snapshot of a process.
+// Holder keeps the accepted snapshot with the highest revision.
 //
-// It never goes back: not to a lower revision, and not to another content of the
-// same revision. Safe for concurrent use; no method blocks on input or output.
+// It never returns to a lower revision, nor replaces the content of a revision. Safe
+// for concurrent use; no method blocks on input or output.
 type Holder struct {
 	mu       sync.Mutex
 	current  *Snapshot
@@ -28,22 +29,24 @@
 	rejected *Rejection
 }
 
-// Rejection is the latest published value that was not accepted.
+// Rejection describes the latest published value that was rejected.
 type Rejection struct {
 	Revision int64     `json:"revision"`
 	At       time.Time `json:"at"`
 	Error    string    `json:"error"`
 }
 
-// NewHolder returns a Holder without a snapshot.
+// NewHolder returns a Holder that has no snapshot yet.
 func NewHolder() *Holder {
 	return &Holder{}
 }
 
-// Offer takes a published value from any source: the platform or a peer.
-// It returns true when the value was accepted as a new revision, and nil and
-// false when it is the one already held. Parts holds what is at hand of its parts;
-// those of the snapshot held needn't be in it. A *MissingPartsError asks for more.
+// Offer submits a published value, received from the platform or from a peer. It
+// returns true if the value was accepted as a new revision, and false with a nil error
+// if it is already in force. Parts are those parts of the document that the caller has;
+// parts of the current snapshot may be left out. A *MissingPartsError lists the parts
+// that are needed to decide. Other errors are *RejectedError, ErrOlderRevision and
+// ErrConflict.
 func (h *Holder) Offer(now time.Time, revision int64, content []byte, parts Parts) (bool, error) {
 	if accepted, err, done := h.compareCurrent(now, revision, content); done {
 		return accepted, err
@@ -67,7 +70,8 @@
 	return true, nil
 }
 
-// compareCurrent answers for a value that isn't newer than the one held.
+// compareCurrent returns the result of Offer for a value that isn't newer than the current
+// snapshot. For a newer value it returns done false.
 func (h *Holder) compareCurrent(now time.Time, revision int64, content []byte) (accepted bool, err error, done bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,7 +83,7 @@
 
 func (h *Holder) checkNotNewer(now time.Time, revision int64, content []byte) error {
 	if revision < h.current.Revision {
-		return fmt.Errorf("revision %d under %d: %w", revision, h.current.Revision, ErrOlderRevision)
+		return fmt.Errorf("revision %d is below %d: %w", revision, h.current.Revision, ErrOlderRevision)
 	}
 	if bytes.Equal(content, h.current.Content) {
 		return nil
@@ -93,14 +97,14 @@
 	h.rejected = &Rejection{Revision: revision, At: now, Error: err.Error()}
 }
 
-// Current returns the snapshot in force, or nil before the first.
+// Current returns the snapshot in force, or nil if none has been accepted yet.
 func (h *Holder) Current() *Snapshot {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current
 }
 
-// Revision returns the accepted revision, or 0 before the first.
+// Revision returns the accepted revision, or 0 if none has been accepted yet.
 func (h *Holder) Revision() int64 {
 	if s := h.Current(); s != nil {
 		return s.Revision
@@ -108,8 +112,8 @@
 	return 0
 }
 
-// Status returns the snapshot, since when it is in force here, and the latest
-// rejection, which may be nil.
+// Status returns the snapshot in force, the time at which it was accepted, and the latest
+// rejection, or nil if there was none.
 func (h *Holder) Status() (s *Snapshot, since time.Time, rejected *Rejection) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/config/parts.go
+++ b/internal/config/parts.go
@@ -9,20 +9,20 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// maxParts bounds the parts of a document.
+// maxParts is the maximum number of parts of a document.
 const maxParts = 256
 
-// Parts are the contents of parts, by their SHA-256 sum in lower-case hex.
+// Parts are the contents of parts, by their SHA-256 hash in lower-case hex.
 type Parts map[string][]byte
 
-// HashPart returns the sum by which a document refers to a part.
+// HashPart returns the hash by which a document refers to a part.
 func HashPart(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// MissingPartsError: the document refers to parts that aren't at hand yet. Fetch
-// them and offer the document again.
+// MissingPartsError is the error for a document whose parts are incomplete. Fetch the
+// parts and offer the document again.
 type MissingPartsError struct {
 	References []api.PartReference
 }
@@ -33,23 +33,23 @@
 	for i, r := range e.References {
 		keys[i] = r.Key
 	}
-	return "parts not at hand: " + strings.Join(keys, ", ") + "; publish parts before the document that names them, and never under the same key again"
+	return "parts are missing: " + strings.Join(keys, ", ") + "; publish parts before the document that refers to them, and never reuse their keys"
 }
 
-// part is a decoded part. It is not changed once decoded.
+// part is a decoded part. It is immutable.
 type part struct {
 	content       []byte
 	organisations []api.Organisation
 }
 
-// resolveParts finds the parts of a document: those decoded before, and new ones among
-// the contents. A content that doesn't have the sum counts as missing.
+// resolveParts returns the parts of a document by hash, from those already decoded and from the
+// given contents. A content that doesn't match its hash counts as missing.
 func resolveParts(doc *api.Document, contents Parts, known map[string]*part) (map[string]*part, error) {
-	taken := make(map[string]*part, len(doc.Parts))
+	resolved := make(map[string]*part, len(doc.Parts))
 	missing := &MissingPartsError{}
 	for i, r := range doc.Parts {
 		if p := known[r.SHA256]; p != nil {
-			taken[r.SHA256] = p
+			resolved[r.SHA256] = p
 			continue
 		}
 		content, ok := contents[r.SHA256]
@@ -61,15 +61,15 @@
 		if err := decodeStrict(content, &p); err != nil {
 			return nil, err.withPathPrefix(fmt.Sprintf("/parts/%d", i))
 		}
-		taken[r.SHA256] = &part{content: content, organisations: p.Organisations}
+		resolved[r.SHA256] = &part{content: content, organisations: p.Organisations}
 	}
 	if len(missing.References) > 0 {
 		return nil, missing
 	}
-	return taken, nil
+	return resolved, nil
 }
 
-// partReferences checks the references of a document.
+// partReferences checks the references of a document to its parts.
 func (v *validator) partReferences(refs []api.PartReference) {
 	if len(refs) > maxParts {
 		v.add("/parts", "has %d parts; use at most %d", len(refs), maxParts)
@@ -78,10 +78,10 @@
 	for i, r := range refs {
 		at := fmt.Sprintf("/parts/%d", i)
 		if r.Key == "" || strings.ContainsAny(r.Key, "/?#") {
-			v.add(at+"/key", "%q is no key; use letters, digits, - and .", r.Key)
+			v.add(at+"/key", "%q is not a valid key; use letters, digits, - and .", r.Key)
 		}
 		if !isHash(r.SHA256) {
-			v.add(at+"/sha256", "is no SHA-256 sum; give 64 lower-case hex digits")
+			v.add(at+"/sha256", "is not a SHA-256 hash; give 64 lower-case hex digits")
 		}
 		if seen[r.SHA256] {
 			v.add(at+"/sha256", "is listed twice; name each part once")
--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -12,7 +12,7 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// partOf is a part with organisations of the given names.
+// partOf returns a part with organisations of the given names.
 func partOf(names ...string) []byte {
 	var list []string
 	for _, n := range names {
@@ -21,7 +21,7 @@
 	return []byte(`{"organisations":[` + strings.Join(list, ",") + `]}`)
 }
 
-// withParts is the example with references to parts.
+// withParts returns the example document with references to parts, and the parts by hash.
 func withParts(t *testing.T, parts ...[]byte) (content []byte, contents Parts) {
 	contents = Parts{}
 	var refs []string
@@ -33,7 +33,7 @@
 	return []byte(text), contents
 }
 
-func TestPartsAddOrganisations(t *testing.T) {
+func TestAcceptAddsOrganisationsOfParts(t *testing.T) {
 	is := is.New(t)
 	content, parts := withParts(t, partOf("a", "b"), partOf("c"))
 	s, err := Accept(1, content, parts)
@@ -47,7 +47,7 @@
 	is.Equal(len(s.Parts(s.PartHashes())), 0)
 }
 
-func TestFaultsInPartsAreNamed(t *testing.T) {
+func TestAcceptReportsPathsOfFaultsInParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		parts [][]byte
 		path  string
@@ -69,24 +69,25 @@
 	}
 }
 
-// A document waits for its parts; a content that doesn't have the sum is none.
-func TestMissingPartsAreAskedFor(t *testing.T) {
+// A document isn't accepted without all of its parts. A content that doesn't match its hash
+// counts as missing.
+func TestOfferReportsMissingParts(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder()
 	content, parts := withParts(t, partOf("a"), partOf("b"))
-	sum := HashPart(partOf("b"))
-	good := parts[sum]
-	parts[sum] = partOf("forged")
+	hash := HashPart(partOf("b"))
+	good := parts[hash]
+	parts[hash] = partOf("forged")
 	accepted, err := h.Offer(time.Now(), 1, content, parts)
 	var missing *MissingPartsError
 	is.True(errors.As(err, &missing))
 	is.True(!accepted)
-	is.Equal(missing.References, []api.PartReference{{Key: "part-1", SHA256: sum}})
-	parts[sum] = good
+	is.Equal(missing.References, []api.PartReference{{Key: "part-1", SHA256: hash}})
+	parts[hash] = good
 	accepted, err = h.Offer(time.Now(), 1, content, parts)
 	is.NoErr(err)
 	is.True(accepted)
-	// The next revision needs only what is new.
+	// The next revision needs only the new part.
 	next, all := withParts(t, partOf("a"), partOf("c"))
 	delete(all, HashPart(partOf("a")))
 	accepted, err = h.Offer(time.Now(), 2, next, all)
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -12,14 +12,14 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// Snapshot is one accepted document with the indexes that serving needs.
-// It is immutable and safe for concurrent use.
+// Snapshot is an accepted document with the indexes used to serve requests. It is
+// immutable and safe for concurrent use.
 type Snapshot struct {
 	// Revision under which the platform published the content.
 	Revision int64
 	// Content is the document as published.
 	Content []byte
-	// Document is the decoded content, with the organisations of all parts.
+	// Document is the decoded content. It includes the organisations of all parts.
 	Document *api.Document
 
 	parts         map[string]*part
@@ -32,17 +32,17 @@
 	models        []string
 }
 
-// Organisation is an organisation ready to serve under.
+// Organisation is an organisation with its defaults applied and its tiers resolved.
 type Organisation struct {
 	Name            string
 	Share           float64
 	TokensPerSecond float64
 	CallerChosenIDs api.CallerIDPolicy
 	DefaultTier     *Tier
-	tiers           []*Tier // few, so that a search is faster than a map
+	tiers           []*Tier // so few that a linear search is faster than a map
 }
 
-// Tier returns the tier of that name if the organisation may use it.
+// Tier returns the tier with the given name, if the organisation may use it.
 func (o *Organisation) Tier(name string) (*Tier, bool) {
 	for _, t := range o.tiers {
 		if t.Name == name {
@@ -52,18 +52,18 @@
 	return nil, false
 }
 
-// Tier is a tier ready to serve under.
+// Tier is a tier in the form used to serve requests.
 type Tier struct {
 	Name string
 	// Rank 0 is the most important.
 	Rank int
-	// Timeout of a request that names none.
+	// Timeout is the timeout of a request that sets none.
 	Timeout time.Duration
-	// FirstToken is the time to the first token that counts as in time; 0 is none.
+	// FirstToken is the target for the time to the first token; 0 if there is none.
 	FirstToken time.Duration
 }
 
-// EngineSet is an engine set ready to serve under.
+// EngineSet is an engine set with its defaults applied.
 type EngineSet struct {
 	Name            string
 	Models          []string
@@ -76,11 +76,11 @@
 	Role            api.EngineRole
 }
 
-// DefaultPrefillWeight applies to engine sets that declare none; see
-// docs/design/policy.md for its measure.
+// DefaultPrefillWeight is the weight of engine sets that declare none; see
+// docs/design/policy.md.
 const DefaultPrefillWeight = 3
 
-// Service is a plain service ready to serve under.
+// Service is a plain service with its defaults applied.
 type Service struct {
 	Name         string
 	MaxBodyBytes int
@@ -88,8 +88,8 @@
 	calls        []call
 }
 
-// NonIdempotent tells whether the operator declared the call as one that runs
-// at most once. Path is the path below the service's prefix.
+// NonIdempotent reports whether the operator declared that the call runs at most
+// once. Path is relative to the prefix of the service.
 func (s *Service) NonIdempotent(method, path string) bool {
 	for _, c := range s.calls {
 		if c.method == method && strings.HasPrefix(path, c.prefix) {
@@ -100,12 +100,12 @@
 }
 
 // Accept decodes, validates and indexes a published value and its parts. The error
-// is a *RejectedError, or a *MissingPartsError when parts aren't at hand.
+// is a *RejectedError, or a *MissingPartsError if parts are missing.
 func Accept(revision int64, content []byte, parts Parts) (*Snapshot, error) {
 	return acceptReusing(nil, revision, content, parts)
 }
 
-// acceptReusing is Accept, and uses again what an earlier snapshot has decoded.
+// acceptReusing is like Accept, but reuses the parts that an earlier snapshot has decoded.
 func acceptReusing(earlier *Snapshot, revision int64, content []byte, contents Parts) (*Snapshot, error) {
 	doc, err := Decode(content)
 	if err != nil {
@@ -133,19 +133,18 @@
 	return s, nil
 }
 
-// Parts returns the contents of the document's parts, but for those whose sums the
-// caller has.
-func (s *Snapshot) Parts(have []string) Parts {
+// Parts returns the contents of the document's parts, except those whose hashes are in known.
+func (s *Snapshot) Parts(known []string) Parts {
 	out := Parts{}
-	for sum, p := range s.parts {
-		if !slices.Contains(have, sum) {
-			out[sum] = p.content
+	for hash, p := range s.parts {
+		if !slices.Contains(known, hash) {
+			out[hash] = p.content
 		}
 	}
 	return out
 }
 
-// PartHashes lists the sums of the document's parts.
+// PartHashes returns the hashes of the document's parts.
 func (s *Snapshot) PartHashes() []string { return slices.Collect(maps.Keys(s.parts)) }
 
 func (s *Snapshot) indexTiers() {
@@ -220,52 +219,53 @@
 			CostTokens:   cmp.Or(d.Spec.CostTokens, 1),
 		}
 		for _, text := range d.Spec.NonIdempotent {
-			c, _ := parseCall(text) // Validate has checked it.
+			c, _ := parseCall(text) // validate has checked it
 			svc.calls = append(svc.calls, c)
 		}
 		s.services[svc.Name] = svc
 	}
 }
 
-// HashAPIKey returns the form in which API keys are published: SHA-256 in hex.
+// HashAPIKey returns the SHA-256 hash of an API key in lower-case hex, the form in which
+// keys are published.
 func HashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// OrganisationByAPIKey finds the owner of an API key. Looking the key up by its
-// hash takes a time that tells nothing of the keys that exist.
+// OrganisationByAPIKey returns the organisation that owns an API key. The key is looked up
+// by its hash, so that the time taken reveals nothing about the existing keys.
 func (s *Snapshot) OrganisationByAPIKey(key string) (*Organisation, bool) {
 	o, ok := s.byKeyHash[HashAPIKey(key)]
 	return o, ok
 }
 
-// Organisation returns an organisation by name.
+// Organisation returns the organisation with the given name.
 func (s *Snapshot) Organisation(name string) (*Organisation, bool) {
 	o, ok := s.organisations[name]
 	return o, ok
 }
 
-// Tier returns a tier by name.
+// Tier returns the tier with the given name.
 func (s *Snapshot) Tier(name string) (*Tier, bool) {
 	t, ok := s.tiers[name]
 	return t, ok
 }
 
-// EngineSetByModel returns the set that serves a model.
+// EngineSetByModel returns the engine set that serves a model.
 func (s *Snapshot) EngineSetByModel(model string) (*EngineSet, bool) {
 	e, ok := s.setByModel[model]
 	return e, ok
 }
 
-// Service returns a service by name.
+// Service returns the service with the given name.
 func (s *Snapshot) Service(name string) (*Service, bool) {
 	d, ok := s.services[name]
 	return d, ok
 }
 
-// EngineSets lists the engine sets in the document's order.
+// EngineSets returns the engine sets in the order of the document.
 func (s *Snapshot) EngineSets() []*EngineSet { return s.sets }
 
-// Models lists the models served, sorted.
+// Models returns the names of all served models, sorted.
 func (s *Snapshot) Models() []string { return s.models }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,7 +9,7 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// Bounds that Validate checks.
+// Limits of a document.
 const (
 	maxTimeoutMillis   = 3_600_000
 	maxServiceBody     = 64 << 20
@@ -26,8 +26,8 @@
 	hashLength    = 64
 )
 
-// isName tells whether text can name a resource. There may be 12,000 to check at
-// each change, for which patterns are too slow.
+// isName reports whether text is a valid name of a resource. It doesn't use a regular
+// expression, which would be too slow for the up to 12,000 names checked at each change.
 func isName(text string) bool {
 	if text == "" || len(text) > maxNameLength || text[0] == '-' || text[len(text)-1] == '-' {
 		return false
@@ -41,7 +41,7 @@
 	return true
 }
 
-// isHash tells whether text is a SHA-256 sum in lower-case hex.
+// isHash reports whether text is a SHA-256 hash in lower-case hex.
 func isHash(text string) bool {
 	if len(text) != hashLength {
 		return false
@@ -57,8 +57,8 @@
 
 func isDigit(c byte) bool { return '0' <= c && c <= '9' }
 
-// validate checks a decoded document and its parts and returns every fault, in the
-// order of the document, or nil.
+// validate checks a decoded document and its parts. The error is nil or a *RejectedError
+// with all faults in the order of the document.
 func validate(doc *api.Document, parts map[string]*part) error {
 	n := len(doc.Organisations)
 	for _, p := range parts {
@@ -83,7 +83,8 @@
 
 type validator struct {
 	faults []FieldError
-	// organisationNames and keyOwners are those met so far, in all parts.
+	// organisationNames and keyOwners hold what was seen so far in the document and its parts;
+	// keyOwners maps hashes of API keys to organisations.
 	organisationNames map[string]bool
 	keyOwners         map[string]string
 }
@@ -92,10 +93,10 @@
 	v.faults = append(v.faults, FieldError{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// name checks a resource's name and that it is the first of its kind.
+// name checks the name of a resource and that no resource in seen has it.
 func (v *validator) name(path func() string, name string, seen map[string]bool) {
 	if !isName(name) {
-		v.add(path()+"/metadata/name", "%q is no name; use 1 to 63 of a-z, 0-9 and -", name)
+		v.add(path()+"/metadata/name", "%q is not a valid name; use 1 to 63 of a-z, 0-9 and -", name)
 		return
 	}
 	if seen[name] {
@@ -126,16 +127,16 @@
 		v.inRange(path+"/spec/firstTokenMillis", t.Spec.FirstTokenMillis, 0, maxTimeoutMillis, "milliseconds")
 		v.inRange(path+"/spec/rank", t.Spec.Rank, 0, maxTiers-1, "with 0 the most important")
 		if other, ok := ranks[t.Spec.Rank]; ok {
-			v.add(path+"/spec/rank", "is %d, as that of tier %q; give each tier its own rank", t.Spec.Rank, other)
+			v.add(path+"/spec/rank", "is %d, the same as that of tier %q; give each tier its own rank", t.Spec.Rank, other)
 		}
 		ranks[t.Spec.Rank] = t.Metadata.Name
 	}
 	return seen
 }
 
-func (v *validator) organisations(within string, orgs []api.Organisation, tiers map[string]bool) {
+func (v *validator) organisations(prefix string, orgs []api.Organisation, tiers map[string]bool) {
 	for i, o := range orgs {
-		path := func() string { return fmt.Sprintf("%s/organisations/%d", within, i) }
+		path := func() string { return fmt.Sprintf("%s/organisations/%d", prefix, i) }
 		v.name(path, o.Metadata.Name, v.organisationNames)
 		v.apiKeys(path, o)
 		v.tierReferences(path, o.Spec.Tiers, tiers)
@@ -143,7 +144,7 @@
 			v.add(path()+"/spec/share", "is %g; set a weight above 0, or leave it out for 1", o.Spec.Share)
 		}
 		if o.Spec.TokensPerSecond < 0 {
-			v.add(path()+"/spec/tokensPerSecond", "is %g; set tokens per second above 0, or leave it out for no bound", o.Spec.TokensPerSecond)
+			v.add(path()+"/spec/tokensPerSecond", "is %g; set tokens per second above 0, or leave it out for no limit", o.Spec.TokensPerSecond)
 		}
 		switch o.Spec.CallerChosenIDs {
 		case "", api.CallerIDsRefused, api.CallerIDsFirstAttempt:
@@ -157,11 +158,11 @@
 	for i, h := range o.Spec.APIKeyHashes {
 		at := func() string { return fmt.Sprintf("%s/spec/apiKeyHashes/%d", path(), i) }
 		if !isHash(h) {
-			v.add(at(), "is no SHA-256 sum; give 64 lower-case hex digits (tacktally hash-key prints one)")
+			v.add(at(), "is not a SHA-256 hash; give 64 lower-case hex digits (tacktally hash-key prints one)")
 			continue
 		}
 		if owner, ok := v.keyOwners[h]; ok {
-			v.add(at(), "is also a key of organisation %q; give each its own", owner)
+			v.add(at(), "is also a key of organisation %q; give each organisation its own keys", owner)
 		}
 		v.keyOwners[h] = o.Metadata.Name
 	}
@@ -187,15 +188,15 @@
 		v.inRange(path+"/spec/maxPromptTokens", s.Spec.MaxPromptTokens, 1, maxTokensPerPrompt, "tokens")
 		v.inRange(path+"/spec/maxOutputTokens", s.Spec.MaxOutputTokens, 1, maxTokensPerPrompt, "tokens")
 		if len(s.Spec.Models) == 0 {
-			v.add(path+"/spec/models", "is empty; name the models it serves")
+			v.add(path+"/spec/models", "is empty; name the models that the set serves")
 		}
 		for j, m := range s.Spec.Models {
 			at := fmt.Sprintf("%s/spec/models/%d", path, j)
 			if !modelPattern.MatchString(m) {
-				v.add(at, "%q is no model name; use letters, digits and . _ : / -", m)
+				v.add(at, "%q is not a valid model name; use letters, digits and . _ : / -", m)
 			}
 			if owner, ok := models[m]; ok {
-				v.add(at, "model %q belongs to set %q already; list it once", m, owner)
+				v.add(at, "model %q already belongs to set %q; list it once", m, owner)
 			}
 			models[m] = s.Metadata.Name
 		}
@@ -216,7 +217,7 @@
 	for i, a := range adapters {
 		at := fmt.Sprintf("%s/%d", path, i)
 		if !modelPattern.MatchString(a.Name) {
-			v.add(at+"/name", "%q is no adapter name; use letters, digits and . _ : / -", a.Name)
+			v.add(at+"/name", "%q is not a valid adapter name; use letters, digits and . _ : / -", a.Name)
 		}
 		if a.Version == "" {
 			v.add(at+"/version", "is empty; name the version to load")
@@ -243,7 +244,7 @@
 	}
 }
 
-// call is a method and a path prefix.
+// call selects requests by method and path prefix.
 type call struct {
 	method string
 	prefix string
@@ -257,7 +258,7 @@
 func parseCall(text string) (call, error) {
 	method, prefix, ok := strings.Cut(text, " ")
 	if !ok || !callMethods[method] || !strings.HasPrefix(prefix, "/") {
-		return call{}, fmt.Errorf("%q is no call; write a method, a space and a path, such as \"POST /release\"", text)
+		return call{}, fmt.Errorf("%q is not a valid call; write a method, a space and a path, such as \"POST /release\"", text)
 	}
 	return call{method: method, prefix: prefix}, nil
 }
