--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -141,7 +141,7 @@
 		code int
 		want string
 	}{
-		"trace":             {[]string{"trace", "--log", log, "1"}, ExitDone, "who kept the organisation's bucket"},
+		"trace":             {[]string{"trace", "--log", log, "1"}, ExitDone, "owner of the organisation's token bucket"},
 		"trace nothing":     {[]string{"trace", "--log", log, "7"}, ExitFailed, "give the logs of all instances"},
 		"no log":            {[]string{"trace", "--log", filepath.Join(dir, "none"), "1"}, ExitFailed, "name a readable file"},
 		"no lines":          {[]string{"outcomes", "--log", empty}, ExitFailed, "name files with lines"},
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs reads the logs of instances after the fact: the story of one request, and
-// what became of all of them over time.
+// Package logs analyses the logs of instances: it traces a single request, and counts the
+// outcomes of all requests over time.
 package logs
 
 import (
@@ -12,21 +12,22 @@
 	"time"
 )
 
-// maxLine bounds one line of a log.
+// maxLine is the maximum length of a line, in bytes.
 const maxLine = 1 << 20
 
-// Line is one line of a log.
+// Line is a line of a log.
 type Line struct {
 	Time     time.Time
 	Instance string
 	Event    string
-	// Fields are all pairs of the line, by key.
+	// Fields holds all key=value pairs of the line.
 	Fields map[string]string
-	// Text is the line as it was written.
+	// Text is the line as written, from its first pair on.
 	Text string
 }
 
-// Milliseconds reads a time field; 0 where it is absent or no number.
+// Milliseconds returns the duration in a field that holds milliseconds; 0 if the field is
+// absent or not a number.
 func (l *Line) Milliseconds(key string) time.Duration {
 	ms, err := strconv.ParseFloat(l.Fields[key], 64)
 	if err != nil {
@@ -35,8 +36,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Read reads the lines of a log, and skips what isn't one. Lines may have something before
-// their first pair, as collectors of logs put it there.
+// Read reads the lines of a log. It skips text that isn't a log line, and ignores prefixes
+// that log collectors add to lines.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
@@ -77,8 +78,8 @@
 	return l, true
 }
 
-// nextPair cuts the first pair off. A value that isn't quoted as Go quotes it is taken as it
-// stands.
+// nextPair splits off the first pair. A value that isn't a valid quoted Go string ends at the
+// next space.
 func nextPair(text string) (key, value, rest string) {
 	key, after, _ := strings.Cut(text, "=")
 	if quoted, err := strconv.QuotedPrefix(after); err == nil {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -29,7 +29,7 @@
 	return lines
 }
 
-func TestLinesAreReadWithTheirPairs(t *testing.T) {
+func TestReadParsesPairs(t *testing.T) {
 	is := is.New(t)
 	lines := read(t)
 	is.Equal(len(lines), 7)
@@ -39,7 +39,7 @@
 	is.Equal(lines[2].Fields["detail"], `used "all"`)
 }
 
-func TestALineThatEndsEarlyIsReadAsFarAsItGoes(t *testing.T) {
+func TestReadAcceptsTruncatedLine(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(`time=2026-02-03T12:00:01.000Z event=stopped cause="half` + "\ntime=never event=x\n"))
 	is.NoErr(err)
@@ -47,32 +47,32 @@
 	is.Equal(lines[0].Fields["cause"], `"half`)
 }
 
-func TestAStoryHasItsLinesAndWhatDecided(t *testing.T) {
+func TestTraceHasLinesAndCauses(t *testing.T) {
 	for request, want := range map[string]struct {
 		lines int
-		why   string
+		cause string
 		text  string
 	}{
-		"1": {1, "who kept the organisation's bucket", "owner=b"}, // the later change came after it
-		"3": {2, "1 other attempts to u failed within 2s", "request=3"},
+		"1": {1, "owner of the organisation's token bucket", "owner=b"}, // the later change of owner doesn't count
+		"3": {2, "1 other attempts at u failed within 2s", "request=3"},
 		"9": {0, "", ""},
 	} {
 		t.Run(request, func(t *testing.T) {
 			is := is.New(t)
-			s := TraceRequest(read(t), request)
-			is.Equal(len(s.Lines), want.lines)
-			if want.why == "" {
-				is.Equal(len(s.Causes), 0)
+			trace := TraceRequest(read(t), request)
+			is.Equal(len(trace.Lines), want.lines)
+			if want.cause == "" {
+				is.Equal(len(trace.Causes), 0)
 				return
 			}
-			is.Equal(s.Causes[0].Explanation, want.why)
-			is.True(strings.Contains(s.Causes[0].Line.Text, want.text))
+			is.Equal(trace.Causes[0].Explanation, want.cause)
+			is.True(strings.Contains(trace.Causes[0].Line.Text, want.text))
 		})
 	}
 }
 
-// An upstream left, one instance heard of it and another went on sending.
-func TestAStoryTellsWhoHadHeardThatTheUpstreamLeft(t *testing.T) {
+// An upstream leaves. One instance receives the change; another still sends a request to it.
+func TestTraceShowsWhenInstancesLearnedThatUpstreamLeft(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(`time=2026-02-03T12:00:01.000Z instance=a event=upstreams version=4 changed="u ready, v ready" from=source
 time=2026-02-03T12:00:02.000Z instance=b event=upstreams version=5 changed="u leaving" from=source
@@ -81,15 +81,15 @@
 time=2026-02-03T12:00:09.000Z instance=a event=upstreams version=6 changed="u gone" from="peer b"
 `))
 	is.NoErr(err)
-	s := TraceRequest(lines, "1")
-	is.Equal(len(s.Causes), 2)
-	is.Equal(s.Causes[0].Explanation, "when b took u off its choice (leaving)")
-	is.Equal(s.Causes[1].Explanation, "when a took u off its choice (gone)")
-	is.Equal(s.Causes[1].Line.Fields["from"], "peer b")
+	trace := TraceRequest(lines, "1")
+	is.Equal(len(trace.Causes), 2)
+	is.Equal(trace.Causes[0].Explanation, "b stopped using u (leaving)")
+	is.Equal(trace.Causes[1].Explanation, "a stopped using u (gone)")
+	is.Equal(trace.Causes[1].Line.Fields["from"], "peer b")
 }
 
-// An upstream left, and all took it back by an entry that had been written before.
-func TestAStoryTellsWhoTookAnUpstreamBack(t *testing.T) {
+// An upstream leaves, and instances use it again because of an entry that was written earlier.
+func TestTraceShowsThatLeavingUpstreamWasUsedAgain(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(`time=2026-02-03T12:00:01.000Z instance=a event=upstreams version=4 changed="u ready" from=source
 time=2026-02-03T12:00:02.000Z instance=a event=upstreams version=5 changed="u leaving" from=source
@@ -98,13 +98,13 @@
 time=2026-02-03T12:00:04.000Z instance=a event=upstreams version=7 changed="u leaving" from=source
 `))
 	is.NoErr(err)
-	s := TraceRequest(lines, "1")
-	is.Equal(len(s.Causes), 2)
-	is.Equal(s.Causes[1].Explanation, "when a took u back")
-	is.Equal(s.Causes[1].Line.Fields["version"], "6")
+	trace := TraceRequest(lines, "1")
+	is.Equal(len(trace.Causes), 2)
+	is.Equal(trace.Causes[1].Explanation, "a resumed using u")
+	is.Equal(trace.Causes[1].Line.Fields["version"], "6")
 }
 
-func TestOutcomesAreCountedByArrival(t *testing.T) {
+func TestOutcomesAreCountedByArrivalTime(t *testing.T) {
 	is := is.New(t)
 	o, err := CountOutcomes(read(t), "reason", time.Second)
 	is.NoErr(err)
@@ -117,7 +117,7 @@
 	is.True(strings.Contains(svg.String(), "<svg"))
 }
 
-func TestOneWrongDateMakesNoTableOfYears(t *testing.T) {
+func TestCountOutcomesRejectsLineWithWrongDate(t *testing.T) {
 	is := is.New(t)
 	lines := read(t)
 	lines[1].Time = lines[1].Time.AddDate(100, 0, 0)
@@ -125,14 +125,14 @@
 	is.True(err != nil)
 }
 
-func FuzzLinesNeverPanic(f *testing.F) {
+func FuzzRead(f *testing.F) {
 	for _, line := range strings.Split(log, "\n") {
 		f.Add(line)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, err := Read(strings.NewReader(text))
 		if err == nil {
-			_, _ = CountOutcomes(lines, "reason", time.Hour) // an error is as good
+			_, _ = CountOutcomes(lines, "reason", time.Hour) // an error is fine, a panic is not
 		}
 	})
 }
--- a/internal/logs/outcomes.go
+++ b/internal/logs/outcomes.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// answeredName names requests that were answered, beside the reasons of the others.
+// answeredName is the name under which answered requests are counted, which have no reason.
 const answeredName = "answered"
 
-// Outcomes counts how requests ended, by the time at which they arrived and by one of their
-// fields.
+// Outcomes holds the number of requests by arrival time and by the value of a field of their
+// last line, such as the reason.
 type Outcomes struct {
-	// Start is the time of the first step, and Step its length.
+	// Start is the start of the first step, and Step the length of each step.
 	Start time.Time
 	Step  time.Duration
-	// Names are the values of the field, the most frequent first.
+	// Names are the values of the field, most frequent first.
 	Names []string
-	// Counts are by name, one for each step.
+	// Counts holds the number of requests in each step, by name.
 	Counts map[string][]int
 }
 
-// maxSteps bounds what is counted: one wrong date would make a table of years.
+// maxSteps is the maximum number of steps. Without it, a single line with a wrong date would
+// give a table that spans years.
 const maxSteps = 100_000
 
-// CountOutcomes counts the requests that ended, in steps, by a field of their last line; by
-// "reason" those that were answered are a reason, too. The error says that the lines span
-// too many steps.
+// CountOutcomes counts the requests that ended, by arrival time and by a field of their last
+// line. Requests without a value are counted under "answered". It fails if the lines span more
+// than maxSteps steps.
 func CountOutcomes(lines []Line, field string, step time.Duration) (Outcomes, error) {
 	o := Outcomes{Step: step, Counts: map[string][]int{}}
 	var last time.Time
@@ -43,7 +44,7 @@
 	}
 	steps := int(last.Sub(o.Start)/step) + 1
 	if steps > maxSteps {
-		return o, fmt.Errorf("the lines span %v, over %d steps; give a longer step, or fewer lines", last.Sub(o.Start), maxSteps)
+		return o, fmt.Errorf("the lines span %v, which is more than %d steps; use a longer step, or fewer lines", last.Sub(o.Start), maxSteps)
 	}
 	for _, l := range endedRequests(lines) {
 		name := l.Fields[field]
@@ -61,7 +62,7 @@
 	return o, nil
 }
 
-// Total returns the requests of one name.
+// Total returns the number of requests with a name.
 func (o Outcomes) Total(name string) (n int) {
 	for _, count := range o.Counts[name] {
 		n += count
@@ -79,5 +80,5 @@
 	return out
 }
 
-// arrivalTime is when a request that ended had come.
+// arrivalTime returns the arrival time of a request from its last line.
 func arrivalTime(l Line) time.Time { return l.Time.Add(-l.Milliseconds("took")) }
--- a/internal/logs/plot.go
+++ b/internal/logs/plot.go
@@ -10,19 +10,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
-	// plotLines bounds the lines: the most frequent ones.
+	// plotLines is the maximum number of lines; the most frequent names are drawn.
 	plotLines = 8
 )
 
-// WriteSVG draws the requests of each name over time.
+// WriteSVG writes a plot of the requests over time, with a line for each name.
 func (o Outcomes) WriteSVG(w io.Writer) error {
 	p := plot.New()
-	p.Title.Text = "requests by how they ended"
-	p.X.Label.Text = "seconds from " + o.Start.Format("15:04:05")
+	p.Title.Text = "requests by outcome"
+	p.X.Label.Text = "seconds since " + o.Start.Format("15:04:05")
 	p.Y.Label.Text = fmt.Sprintf("requests that arrived within %v", o.Step)
 	p.Legend.Top = true
 	for i, name := range o.Names[:min(len(o.Names), plotLines)] {
@@ -33,7 +33,7 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return fmt.Errorf("%s can't be drawn: %w", name, err)
+			return fmt.Errorf("draw %s: %w", name, err)
 		}
 		line.Color = plotutil.Color(i)
 		line.Width = vg.Points(1.5)
--- a/internal/logs/story.go
+++ b/internal/logs/trace.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Trace is what logs tell of one request.
+// Trace is what logs contain about a request.
 type Trace struct {
-	// Lines are those that name it, in the order of their times.
+	// Lines are the lines that name the request, ordered by time.
 	Lines []Line
-	// Causes are what happened before, and may have decided how it ended.
+	// Causes are events that may explain how the request ended.
 	Causes []Cause
 }
 
@@ -21,11 +21,12 @@
 	Line        Line
 }
 
-// failureWindow is how far from a failed attempt others at the same upstream are looked for.
+// failureWindow is the time before and after a failed attempt in which other failures at the same
+// upstream are counted.
 const failureWindow = 2 * time.Second
 
-// TraceRequest returns the story of a request from lines in the order of their times. It has no
-// lines if none names the request.
+// TraceRequest returns the trace of a request from lines that are ordered by time. The trace is empty
+// if no line names the request.
 func TraceRequest(lines []Line, request string) Trace {
 	var s Trace
 	for _, l := range lines {
@@ -42,7 +43,7 @@
 	return s
 }
 
-// causesOfLine looks for what decided on one line of a request.
+// causesOfLine returns the events that may explain a line of a request.
 func causesOfLine(lines []Line, l Line) []Cause {
 	if l.Event == "attempt_failed" {
 		return otherFailures(lines, l)
@@ -52,31 +53,32 @@
 	}
 	switch l.Fields["reason"] {
 	case "organisation_limit":
-		return lastEventBefore(lines, l, "shard_owner", "service", "quota of "+l.Fields["organisation"], "who kept the organisation's bucket")
+		return lastEventBefore(lines, l, "shard_owner", "service", "quota of "+l.Fields["organisation"], "owner of the organisation's token bucket")
 	case "deadline_expired", "displaced_by_higher_tier", "predicted_late", "queue_full", "no_upstream":
-		return lastEventBefore(lines, l, "shard_owner", "service", l.Fields["service"], "who scheduled the service's upstreams")
+		return lastEventBefore(lines, l, "shard_owner", "service", l.Fields["service"], "owner that scheduled the service's upstreams")
 	case "stale_configuration", "no_configuration":
-		return append(lastEventBefore(lines, l, "source_lost", "instance", l.Instance, "the store was lost"),
-			lastEventBefore(lines, l, "config_accepted", "instance", l.Instance, "the configuration in force")...)
+		return append(lastEventBefore(lines, l, "source_lost", "instance", l.Instance, "connection to the store lost"),
+			lastEventBefore(lines, l, "config_accepted", "instance", l.Instance, "configuration in force")...)
 	case "no_route", "unknown_api_key":
-		return lastEventBefore(lines, l, "config_accepted", "instance", l.Instance, "the configuration in force")
+		return lastEventBefore(lines, l, "config_accepted", "instance", l.Instance, "configuration in force")
 	}
 	return nil
 }
 
-// lastEventBefore returns the lastEventBefore line of an event, with a value, that its instance wrote before.
-func lastEventBefore(lines []Line, before Line, event, key, value, why string) []Cause {
+// lastEventBefore returns the last line with the given event, and with the given value for the key,
+// that the instance of another line wrote up to the time of that line.
+func lastEventBefore(lines []Line, before Line, event, key, value, explanation string) []Cause {
 	for i := len(lines) - 1; i >= 0; i-- {
 		l := lines[i]
 		if l.Time.After(before.Time) || l.Event != event || l.Instance != before.Instance || l.Fields[key] != value {
 			continue
 		}
-		return []Cause{{Explanation: why, Line: l}}
+		return []Cause{{Explanation: explanation, Line: l}}
 	}
 	return nil
 }
 
-// upstreamsIn returns the upstreams that lines of a request name, in order.
+// upstreamsIn returns the upstreams that lines name, in the order of their first occurrence.
 func upstreamsIn(lines []Line) []string {
 	var out []string
 	for _, l := range lines {
@@ -87,28 +89,28 @@
 	return out
 }
 
-// upstreamChanges returns, for each instance, the first line that says that an upstream leaves or
-// isn't listed any more, and the first one that takes it back. An instance that sent to it later
-// than others heard of it was late, or had taken it back.
+// upstreamChanges returns, for each instance, the first line that reports an upstream as leaving or
+// removed, and the first later one that reports it as ready again. They show whether an instance that
+// sent a request to the upstream had received the change late, or was using the upstream again.
 func upstreamChanges(lines []Line, upstream string) []Cause {
 	var out []Cause
-	told := map[string]int{} // by instance: the lines that were taken
+	reported := map[string]int{} // number of lines returned, by instance
 	for _, l := range lines {
 		state := changedState(l, upstream)
 		switch ready := state == "ready"; {
 		case state == "":
-		case !ready && told[l.Instance] == 0:
-			told[l.Instance]++
-			out = append(out, Cause{Explanation: fmt.Sprintf("when %s took %s off its choice (%s)", l.Instance, upstream, state), Line: l})
-		case ready && told[l.Instance] == 1:
-			told[l.Instance]++
-			out = append(out, Cause{Explanation: fmt.Sprintf("when %s took %s back", l.Instance, upstream), Line: l})
+		case !ready && reported[l.Instance] == 0:
+			reported[l.Instance]++
+			out = append(out, Cause{Explanation: fmt.Sprintf("%s stopped using %s (%s)", l.Instance, upstream, state), Line: l})
+		case ready && reported[l.Instance] == 1:
+			reported[l.Instance]++
+			out = append(out, Cause{Explanation: fmt.Sprintf("%s resumed using %s", l.Instance, upstream), Line: l})
 		}
 	}
 	return out
 }
 
-// changedState returns the state to which a line says that an upstream has changed, or "".
+// changedState returns the state to which an upstream changed according to a line, or "".
 func changedState(l Line, upstream string) string {
 	if l.Event != "upstreams" {
 		return ""
@@ -121,7 +123,8 @@
 	return ""
 }
 
-// otherFailures counts the other attempts that failed at the same upstream about then.
+// otherFailures counts the attempts of other requests that failed at the same upstream within
+// failureWindow. It returns no cause if there are none.
 func otherFailures(lines []Line, failed Line) []Cause {
 	n := 0
 	for _, l := range lines {
@@ -133,5 +136,5 @@
 	if n == 0 {
 		return nil
 	}
-	return []Cause{{Explanation: fmt.Sprintf("%d other attempts to %s failed within %v", n, failed.Fields["upstream"], failureWindow), Line: failed}}
+	return []Cause{{Explanation: fmt.Sprintf("%d other attempts at %s failed within %v", n, failed.Fields["upstream"], failureWindow), Line: failed}}
 }
