--- a/internal/telemetry/format.go
+++ b/internal/telemetry/format.go
@@ -8,8 +8,8 @@
 	"github.com/phuslu/log"
 )
 
-// formatPairs writes an event as one line of key=value pairs. The library's own
-// logfmt form writes a true value without "=" and a message without a key.
+// formatPairs writes an event as one line of key=value pairs. The logfmt formatter of
+// the library is not used: it writes a true value without "=" and a message without a key.
 func formatPairs(w io.Writer, a *log.FormatterArgs) (int, error) {
 	line := make([]byte, 0, 256)
 	line = appendPair(line, "time", a.Time)
@@ -20,7 +20,7 @@
 	if a.Message != "" {
 		line = appendPair(line, "message", a.Message)
 	}
-	line[len(line)-1] = '\n' // in place of the last space
+	line[len(line)-1] = '\n' // replaces the last space
 	return w.Write(line)
 }
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,8 +1,8 @@
-// Package telemetry holds a daemon's metrics and its logger.
+// Package telemetry provides the metrics and the logger of an instance.
 //
-// Metrics live in a set of their own, so that several daemons can run in one
-// process (the demo and the tests do). Each reason of api has its counter from
-// the start, at zero.
+// Each Metrics has its own set of metrics, so that several instances can run in one
+// process, as in the demo and in tests. Each reason of package api has a counter,
+// which starts at zero.
 package telemetry
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/tacktally/tacktally/api"
 )
 
-// Metrics of one daemon. Safe for concurrent use.
+// Metrics are the metrics of one instance. Safe for concurrent use.
 type Metrics struct {
 	set     *metrics.Set
 	refused map[api.Reason]*metrics.Counter
 	retried map[api.Reason]*metrics.Counter
 }
 
-// NewMetrics returns metrics with every reason's counter at zero.
+// NewMetrics returns Metrics with the counters of all reasons at zero.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		set:     metrics.NewSet(),
@@ -53,36 +53,36 @@
 	}
 }
 
-// Ended counts a request's end by tier and outcome, and how long it took.
+// Ended counts a request that ended by tier and outcome, and records its duration by tier.
 func (m *Metrics) Ended(tier string, o api.Outcome, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("tacktally_requests_total{tier=%q,outcome=%q}", tier, string(o))).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf("tacktally_request_seconds{tier=%q}", tier)).Update(took.Seconds())
 }
 
-// FirstToken records a time to first token.
+// FirstToken records the time to the first token of a request.
 func (m *Metrics) FirstToken(tier string, took time.Duration) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf("tacktally_first_token_seconds{tier=%q}", tier)).Update(took.Seconds())
 }
 
-// Count adds one to a counter by its full name.
+// Count adds one to the counter with the given full name, which includes its labels.
 func (m *Metrics) Count(name string) { m.set.GetOrCreateCounter(name).Inc() }
 
-// Add adds n to a counter by its full name.
+// Add adds n to the counter with the given full name.
 func (m *Metrics) Add(name string, n int) { m.set.GetOrCreateCounter(name).Add(n) }
 
-// Value returns a counter's value by its full name.
+// Value returns the value of the counter with the given full name.
 func (m *Metrics) Value(name string) uint64 { return m.set.GetOrCreateCounter(name).Get() }
 
-// Gauge registers a gauge that f answers. F must be safe for concurrent use.
+// Gauge registers a gauge whose value f returns. f must be safe for concurrent use.
 func (m *Metrics) Gauge(name string, f func() float64) { m.set.GetOrCreateGauge(name, f) }
 
-// Write writes all metrics in the Prometheus text format.
+// Write writes all metrics, and those of the process, in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// NewLogger returns a logger that writes one line of key=value pairs an event.
+// NewLogger returns a logger that writes each event as one line of key=value pairs.
 func NewLogger(w io.Writer, level, instance string) *log.Logger {
 	return &log.Logger{
 		Level:      log.ParseLevel(level),
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestLogIsOneLineOfPairs(t *testing.T) {
+func TestLoggerWritesOneLineOfPairs(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	NewLogger(&out, "info", "10.0.0.1:7003").Info().Str("event", "retry").Bool("again", true).Int("n", 3).Str("cause", "a \"quoted\"\nline").Msg("")
