--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
-	plainjson "encoding/json" // times as numbers
+	plainjson "encoding/json" // for durations as numbers
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -39,13 +39,14 @@
 	}
 }
 
-// users stands in for the users' platform.
+// users is a fake of the users' platform.
 var users = Platform{Decode: decodeRouted, Demo: func(_ context.Context, out io.Writer) error {
 	_, err := io.WriteString(out, "the demo of routed requests\n")
 	return err
 }}
 
-// decodeRouted reads documents in their own form; the platform's is read by its adapter.
+// decodeRouted decodes documents in the form of routing.Document. The form in which they are
+// published is decoded by the platform's adapter.
 func decodeRouted(content []byte) (*routing.Document, error) {
 	var d routing.Document
 	if err := plainjson.Unmarshal(content, &d); err != nil {
@@ -54,7 +55,7 @@
 	return &d, nil
 }
 
-func TestARoutedConfigurationIsCheckedWithoutAnInstance(t *testing.T) {
+func TestValidateRoutedNeedsNoInstance(t *testing.T) {
 	const services = `"Services":[{"Name":"app"},{"Name":"desk"}]`
 	const route = `{"Name":"r","Host":"h","Prefix":"/","Kind":1,"Timeout":1000000000,"MaxAttempts":1,"Split":[{"Service":"app","Weight":1}]}`
 	for name, c := range map[string]struct {
@@ -62,12 +63,12 @@
 		code             int
 		want             string
 	}{
-		"valid":             {"table", `{"Version":7,` + services + `,"Routes":[` + route + `]}`, ExitDone, "accepted: version 7, 1 routes to app, desk"},
-		"as JSON":           {"json", `{"Version":7,` + services + `,"Routes":[` + route + `]}`, ExitDone, `{"version":7,"routes":1,"services":["app","desk"]}`},
-		"unknown service":   {"table", `{"Version":7,"Routes":[` + route + `]}`, ExitFailed, "app"},
-		"not a document":    {"table", `{`, ExitFailed, "publish a configuration that decodes"},
-		"a kind not known":  {"table", `{` + services + `,"Routes":[` + strings.Replace(route, `"Kind":1`, `"Kind":9`, 1) + `]}`, ExitFailed, "kind"},
-		"no time to answer": {"table", `{` + services + `,"Routes":[` + strings.Replace(route, `1000000000`, `0`, 1) + `]}`, ExitFailed, "timeout"},
+		"valid":           {"table", `{"Version":7,` + services + `,"Routes":[` + route + `]}`, ExitDone, "accepted: version 7, 1 routes to app, desk"},
+		"as JSON":         {"json", `{"Version":7,` + services + `,"Routes":[` + route + `]}`, ExitDone, `{"version":7,"routes":1,"services":["app","desk"]}`},
+		"unknown service": {"table", `{"Version":7,"Routes":[` + route + `]}`, ExitFailed, "app"},
+		"not a document":  {"table", `{`, ExitFailed, "decode the configuration"},
+		"unknown kind":    {"table", `{` + services + `,"Routes":[` + strings.Replace(route, `"Kind":1`, `"Kind":9`, 1) + `]}`, ExitFailed, "kind"},
+		"no timeout":      {"table", `{` + services + `,"Routes":[` + strings.Replace(route, `1000000000`, `0`, 1) + `]}`, ExitFailed, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -75,8 +76,8 @@
 			is.NoErr(os.WriteFile(file, []byte(c.document), 0o600))
 			var out, errOut bytes.Buffer
 			is.Equal(Run([]string{"-o", c.output, "validate", "--routed", file}, &out, &errOut, users), c.code)
-			if said := out.String() + errOut.String(); !strings.Contains(said, c.want) {
-				t.Error(said)
+			if output := out.String() + errOut.String(); !strings.Contains(output, c.want) {
+				t.Error(output)
 			}
 		})
 	}
@@ -101,7 +102,7 @@
 		"get unknown":     {[]string{"get", "Tier", "gold"}, ExitFailed, []string{"list the kind"}},
 		"get no kind":     {[]string{"get", "Gold"}, ExitFailed, []string{"use Organisation"}},
 		"validate":        {[]string{"validate", good}, ExitDone, []string{"accepted"}},
-		"validate faults": {[]string{"validate", bad}, ExitFailed, []string{"/tiers/0/spec/rank", "/tiers/0/spec/timeoutMillis", "mend the faults"}},
+		"validate faults": {[]string{"validate", bad}, ExitFailed, []string{"/tiers/0/spec/rank", "/tiers/0/spec/timeoutMillis", "correct the faults"}},
 		"validate absent": {[]string{"validate", "none.json"}, ExitFailed, []string{"name a readable file"}},
 		"explain":         {[]string{"explain", "--organisation", "gebremedhin", "--model", rig.Model}, ExitDone, []string{"desk (rank 1", "1 upstreams"}},
 		"explain a call":  {[]string{"explain", "--organisation", "gebremedhin", "--service", "bookings", "--path", "/confirm"}, ExitDone, []string{"needs an issued key"}},
@@ -117,13 +118,13 @@
 			for _, want := range c.want {
 				is.True(strings.Contains(out+errOut, want))
 			}
-			is.True(!strings.Contains(out, "2c26b46b68ffc68ff99b453c1d")) // no whole hash of a key
+			is.True(!strings.Contains(out, "2c26b46b68ffc68ff99b453c1d")) // hashes of keys are shortened
 		})
 	}
 }
 
-// What on-call engineers have after the fact is logs alone.
-func TestLogsTellTheStoryOfARequestAndOutcomes(t *testing.T) {
+// After an incident, on-call engineers have only the logs.
+func TestTraceAndOutcomesFromLogs(t *testing.T) {
 	dir := t.TempDir()
 	log := filepath.Join(dir, "log")
 	content := "time=2026-02-03T12:00:01.000Z instance=a event=shard_owner service=\"quota of crews\" owner=b\n" +
@@ -160,8 +161,8 @@
 	}
 }
 
-// Operators see when a zone is empty from all instances together.
-func TestPlacesAddUpWhatRunsInEvacuatedZones(t *testing.T) {
+// Operators evacuate a zone and wait until no instance has requests in it.
+func TestPlacesSumsRequestsInEvacuatedZones(t *testing.T) {
 	is := is.New(t)
 	var urls []string
 	for _, running := range []int{3, 4} {
@@ -177,20 +178,20 @@
 	}
 	var out, errOut bytes.Buffer
 	is.Equal(Run(append([]string{"places"}, urls...), &out, &errOut, users), ExitDone)
-	is.True(strings.Contains(out.String(), "7 requests of the 2 instances asked"))
+	is.True(strings.Contains(out.String(), "7 requests of the 2 instances queried"))
 	is.True(strings.Contains(out.String(), "for 1200 ms more"))
 	is.Equal(Run([]string{"places", "--metrics", "http://127.0.0.1:1"}, &out, &errOut, users), ExitFailed)
 	is.True(strings.Contains(errOut.String(), "routed.metrics"))
 }
 
-func TestTheDemoOfRoutedRequestsIsThePlatforms(t *testing.T) {
+func TestDemoRoutedRunsDemoOfPlatform(t *testing.T) {
 	is := is.New(t)
 	var out, errOut bytes.Buffer
 	is.Equal(Run([]string{"demo", "--routed"}, &out, &errOut, users), ExitDone)
 	is.Equal(out.String(), "the demo of routed requests\n")
 }
 
-func TestNoInstance(t *testing.T) {
+func TestErrorWithoutInstanceNamesAddressFlag(t *testing.T) {
 	is := is.New(t)
 	var out, errOut bytes.Buffer
 	is.Equal(Run([]string{"--address", "http://127.0.0.1:1", "status"}, &out, &errOut, users), ExitFailed)
@@ -210,8 +211,8 @@
 	return path
 }
 
-// A watch from a list's revision shows each change once; one from before what is
-// known says to list again.
+// A watch from the revision of a list prints each change once. A watch from a revision before
+// the known changes fails and asks to list again.
 func TestWatch(t *testing.T) {
 	is := is.New(t)
 	r, run := start(t)
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -29,21 +29,22 @@
 	"github.com/tacktally/tacktally/internal/watch"
 )
 
-// errRejected ends validate with exit code 1 after the faults are printed.
-var errRejected = errors.New("the document is rejected; mend the faults above")
+// errRejected makes validate exit with code 1 after it has printed the faults.
+var errRejected = errors.New("the document is rejected; correct the faults above")
 
-// call makes a request to the resource API and returns the open answer.
+// call sends a request to the resource API and returns the response, whose body the caller closes.
+// A response with an error status is returned as an error.
 func (s *session) call(r *sling.Sling) (*http.Response, error) {
 	if s.TokenFile != "" {
 		token, err := os.ReadFile(s.TokenFile)
 		if err != nil {
-			return nil, fmt.Errorf("--token-file can't be read; name a readable file: %w", err)
+			return nil, fmt.Errorf("the --token-file can't be read; name a readable file: %w", err)
 		}
 		r = r.Set("Authorization", "Bearer "+strings.TrimSpace(string(token)))
 	}
 	h, err := r.Request()
 	if err != nil {
-		return nil, fmt.Errorf("--address %q is no URL; write one, such as http://127.0.0.1:8081: %w", s.Address, err)
+		return nil, fmt.Errorf("--address %q is not a URL; write one such as http://127.0.0.1:8081: %w", s.Address, err)
 	}
 	response, err := http.DefaultClient.Do(h.WithContext(s.ctx))
 	if err != nil {
@@ -62,7 +63,8 @@
 
 func (s *session) sling() *sling.Sling { return sling.New().Base(s.Address) }
 
-// read makes a request and decodes its answer; with -o json it also prints it.
+// read sends a request and decodes the response into a value. With -o json it also prints the
+// response, and returns printed true.
 func (s *session) read(r *sling.Sling, into any) (printed bool, err error) {
 	response, err := s.call(r)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return w.Flush()
 }
 
-// kindName completes the names of kinds.
+// kindName is the name of a kind, with shell completion.
 type kindName string
 
 // Complete implements flags.Completer.
@@ -158,7 +160,7 @@
 
 type watchCommand struct {
 	session *session
-	After   int64 `long:"after" value-name:"REVISION" description:"Begin after this revision; now where left out"`
+	After   int64 `long:"after" value-name:"REVISION" description:"Start after this revision; default: the current one"`
 	Args    struct {
 		Kind kindName `positional-arg-name:"KIND"`
 	} `positional-args:"true"`
@@ -185,19 +187,19 @@
 		}
 		var e watch.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return fmt.Errorf("the instance sent an unreadable change; use the same version: %w", err)
+			return fmt.Errorf("decode a change from the instance; use the same version of tacktally: %w", err)
 		}
 		fmt.Fprintf(c.session.out, "%d\t%s\t%s\t%s\n", e.Revision, e.Type, e.Kind, e.Name)
 	}
 	if c.session.ctx.Err() != nil {
 		return nil
 	}
-	return errors.New("the instance ended the watch; watch another, from the last revision seen")
+	return errors.New("the instance ended the watch; watch another instance from the last revision seen")
 }
 
 type validateCommand struct {
 	session *session
-	Routed  bool `long:"routed" description:"The document is a configuration of routed requests, as it is published"`
+	Routed  bool `long:"routed" description:"The document is a configuration of routed requests, in the form in which it is published"`
 	Args    struct {
 		File string `positional-arg-name:"FILE" required:"true" description:"Document to check; - for standard input"`
 	} `positional-args:"true"`
@@ -231,11 +233,11 @@
 	return nil
 }
 
-// routed says what every instance would say to a configuration of routed requests.
+// routed validates a configuration of routed requests as instances do.
 func (c *validateCommand) routed(content []byte) error {
 	document, err := c.session.platform.Decode(content)
 	if err != nil {
-		return fmt.Errorf("publish a configuration that decodes: %w", err)
+		return fmt.Errorf("decode the configuration: %w", err)
 	}
 	table, err := routing.Build(document)
 	if err != nil {
@@ -250,7 +252,7 @@
 	return nil
 }
 
-// routedSummary is what validate tells of a configuration of routed requests.
+// routedSummary is the JSON output of validate for a configuration of routed requests.
 type routedSummary struct {
 	Version  int64    `json:"version"`
 	Routes   int      `json:"routes"`
@@ -270,10 +272,10 @@
 
 type explainCommand struct {
 	session      *session
-	Organisation string `long:"organisation" required:"true" description:"Organisation that would send it"`
-	Tier         string `long:"tier" description:"Tier; the organisation's default where left out"`
-	Model        string `long:"model" description:"Model asked for"`
-	Service      string `long:"service" description:"Service called, instead of a model"`
+	Organisation string `long:"organisation" required:"true" description:"Organisation that would send the request"`
+	Tier         string `long:"tier" description:"Tier of the request; default: the organisation's default tier"`
+	Model        string `long:"model" description:"Requested model"`
+	Service      string `long:"service" description:"Called service, instead of a model"`
 	Method       string `long:"method" default:"POST" description:"Method of the call to the service"`
 	Path         string `long:"path" default:"/" description:"Path of the call to the service"`
 }
@@ -321,7 +323,7 @@
 			fmt.Fprintf(w, "rejected\trevision %d: %s\n", st.Rejected.Revision, st.Rejected.Error)
 		}
 		fmt.Fprintf(w, "requests\t%d in flight, draining %t\n", st.InFlight, st.Draining)
-		fmt.Fprintf(w, "keys\t%d reserved, %d in use, %d bytes of answers held\n", st.Keys.Reserved, st.Keys.Entries, st.Keys.AnswerBytes)
+		fmt.Fprintf(w, "keys\t%d reserved, %d in use, %d bytes of responses stored\n", st.Keys.Reserved, st.Keys.Entries, st.Keys.AnswerBytes)
 		for _, p := range st.Peers {
 			fmt.Fprintf(w, "peer\t%s in %s, revision %d, reachable %t\n", p.Address, p.Zone, p.Revision, p.Reachable)
 		}
@@ -337,7 +339,7 @@
 		return err
 	}
 	response.Body.Close()
-	fmt.Fprintln(c.session.out, "the instance refuses new work and ends when what is in flight is answered")
+	fmt.Fprintln(c.session.out, "the instance refuses new requests and exits when those in progress are answered")
 	return nil
 }
 
@@ -351,7 +353,7 @@
 	}
 	key := strings.TrimSpace(string(content))
 	if key == "" {
-		return errors.New("no key on standard input; pipe the API key in")
+		return errors.New("no API key on standard input; pipe the key in")
 	}
 	fmt.Fprintln(c.session.out, config.HashAPIKey(key))
 	return nil
@@ -359,8 +361,8 @@
 
 type experimentCommand struct {
 	session *session
-	Policy  string   `long:"policy" description:"Run this policy alone; all where left out"`
-	Seeds   []uint64 `long:"seed" default:"1" default:"2" default:"3" default:"4" default:"5" description:"Seed of a run; give it again for more"`
+	Policy  string   `long:"policy" description:"Run only this policy; default: all"`
+	Seeds   []uint64 `long:"seed" default:"1" default:"2" default:"3" default:"4" default:"5" description:"Seed of a run; may be repeated"`
 }
 
 // Execute implements flags.Commander.
@@ -369,7 +371,7 @@
 		return c.Policy != "" && p.Name != c.Policy
 	})
 	if len(policies) == 0 {
-		return fmt.Errorf("no policy is named %q; leave --policy out to see all", c.Policy)
+		return fmt.Errorf("no policy is named %q; omit --policy to run all", c.Policy)
 	}
 	rows := experiment.All(policies, c.Seeds)
 	return experiment.Write(c.session.out, rows, c.Seeds)
@@ -382,9 +384,9 @@
 
 type demoCommand struct {
 	session  *session
-	Duration time.Duration `long:"duration" value-name:"TIME" description:"End after this time; at an interrupt where left out"`
-	Rate     float64       `long:"rate" default:"12" description:"Requests a second"`
-	Routed   bool          `long:"routed" description:"Run an instance for routed requests, with upstreams in two availability zones, and send nothing"`
+	Duration time.Duration `long:"duration" value-name:"TIME" description:"Stop after this time; default: at an interrupt"`
+	Rate     float64       `long:"rate" default:"12" description:"Requests per second"`
+	Routed   bool          `long:"routed" description:"Run an instance for routed requests, with upstreams in two availability zones, and send no traffic"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -12,12 +12,12 @@
 	"github.com/tacktally/tacktally/internal/logs"
 )
 
-// logFiles are the logs of instances, in any order.
+// logFiles is the option for the logs of instances, in any order.
 type logFiles struct {
-	Logs []flags.Filename `short:"l" long:"log" value-name:"FILE" required:"true" description:"Log of an instance, or of several; may be given again"`
+	Logs []flags.Filename `short:"l" long:"log" value-name:"FILE" required:"true" description:"Log of one or more instances; may be repeated"`
 }
 
-// read reads all logs, in the order of their times.
+// read returns the lines of all logs, ordered by time.
 func (f *logFiles) read() ([]logs.Line, error) {
 	var out []logs.Line
 	for _, name := range f.Logs {
@@ -28,7 +28,7 @@
 		out = append(out, lines...)
 	}
 	if len(out) == 0 {
-		return nil, errors.New("the logs hold no line of an instance; name files with lines of key=value pairs")
+		return nil, errors.New("the logs contain no line of an instance; name files with lines of key=value pairs")
 	}
 	logs.Sort(out)
 	return out, nil
@@ -57,14 +57,14 @@
 	if err != nil {
 		return err
 	}
-	story := logs.TraceRequest(lines, c.Args.Request)
-	if len(story.Lines) == 0 {
-		return fmt.Errorf("no line names request %s; give the logs of all instances, from the time at which it came", c.Args.Request)
+	trace := logs.TraceRequest(lines, c.Args.Request)
+	if len(trace.Lines) == 0 {
+		return fmt.Errorf("no line names request %s; give the logs of all instances from its arrival on", c.Args.Request)
 	}
-	for _, l := range story.Lines {
+	for _, l := range trace.Lines {
 		fmt.Fprintln(c.session.out, l.Text)
 	}
-	for _, cause := range story.Causes {
+	for _, cause := range trace.Causes {
 		fmt.Fprintf(c.session.out, "\n%s:\n  %s\n", cause.Explanation, cause.Line.Text)
 	}
 	return nil
@@ -73,15 +73,15 @@
 type outcomesCommand struct {
 	session *session
 	logFiles
-	By   string        `long:"by" default:"reason" choice:"reason" choice:"route" choice:"organisation" choice:"service" choice:"instance" description:"What to count by"`
-	Step time.Duration `long:"step" default:"2s" description:"Length of a row"`
-	Plot string        `long:"plot" value-name:"FILE" description:"Draw it as an SVG file, too"`
+	By   string        `long:"by" default:"reason" choice:"reason" choice:"route" choice:"organisation" choice:"service" choice:"instance" description:"Field to count by"`
+	Step time.Duration `long:"step" default:"2s" description:"Period of a row"`
+	Plot string        `long:"plot" value-name:"FILE" description:"Also write a plot to this SVG file"`
 }
 
 // Execute implements flags.Commander.
 func (c *outcomesCommand) Execute([]string) error {
 	if c.Step <= 0 {
-		return errors.New("--step must be above 0; write a time, such as 2s")
+		return errors.New("--step must be above 0; write a duration, such as 2s")
 	}
 	lines, err := c.read()
 	if err != nil {
@@ -92,14 +92,14 @@
 		return err
 	}
 	if len(o.Names) == 0 {
-		return errors.New("no request ended in the logs; give those of a time with requests")
+		return errors.New("no request ended in the logs; give logs of a period with requests")
 	}
 	if err := c.print(o); err != nil || c.Plot == "" {
 		return err
 	}
 	file, err := os.Create(c.Plot)
 	if err != nil {
-		return fmt.Errorf("--plot can't be written; name a writable file: %w", err)
+		return fmt.Errorf("the --plot file can't be written; name a writable file: %w", err)
 	}
 	return errors.Join(o.WriteSVG(file), file.Close())
 }
--- a/internal/cli/places.go
+++ b/internal/cli/places.go
@@ -14,11 +14,11 @@
 
 type placesCommand struct {
 	session *session
-	Metrics []string `long:"metrics" value-name:"URL" required:"true" description:"Where an instance serves metrics (routed.metrics), such as http://10.1.0.25:7600; give it again for more instances"`
+	Metrics []string `long:"metrics" value-name:"URL" required:"true" description:"Metrics address of an instance (routed.metrics), such as http://10.1.0.25:7600; may be repeated for more instances"`
 }
 
-// errNoZoneReport: an instance didn't say what it knows.
-var errNoZoneReport = errors.New("the instance doesn't say what it knows of zones; name its metrics' address, routed.metrics, with --metrics")
+// errNoZoneReport is returned if the zone report of an instance can't be read.
+var errNoZoneReport = errors.New("the zone report of the instance can't be read; name its metrics address, routed.metrics, with --metrics")
 
 // Execute implements flags.Commander.
 func (c *placesCommand) Execute([]string) error {
@@ -44,7 +44,7 @@
 func (c *placesCommand) read(url string) (p entry.ZoneReport, err error) {
 	request, err := sling.New().Base(url).Get(entry.ZoneReportPath).Request()
 	if err != nil {
-		return p, fmt.Errorf("%w: %q is no URL: %w", errNoZoneReport, url, err)
+		return p, fmt.Errorf("%w: %q is not a URL: %w", errNoZoneReport, url, err)
 	}
 	response, err := http.DefaultClient.Do(request.WithContext(c.session.ctx))
 	if err != nil {
@@ -55,13 +55,13 @@
 		return p, fmt.Errorf("%w: %s answered %s", errNoZoneReport, url, response.Status)
 	}
 	if err := json.UnmarshalRead(response.Body, &p); err != nil {
-		return p, fmt.Errorf("%w: the answer of %s: %w", errNoZoneReport, url, err)
+		return p, fmt.Errorf("%w: decode the response of %s: %w", errNoZoneReport, url, err)
 	}
 	return p, nil
 }
 
 func printZoneReport(w io.Writer, p entry.ZoneReport) {
-	fmt.Fprintf(w, "instance\t%s\tevacuations known up to revision %d, work held back by limits of starts %d times\n", p.Instance, p.Version, p.LimitedGrants)
+	fmt.Fprintf(w, "instance\t%s\tevacuations known up to revision %d, requests delayed by grant limits %d times\n", p.Instance, p.Version, p.LimitedGrants)
 	for _, z := range p.Zones {
 		fmt.Fprintf(w, "zone\t%s\t%s, %d upstreams, %d requests of this instance\n", z.Name, zoneState(z.Evacuated), z.Upstreams, z.Running)
 	}
@@ -77,7 +77,7 @@
 	return "in service"
 }
 
-// printTotal prints how many requests all instances that were asked have in evacuated zones.
+// printTotal prints the number of requests in each evacuated zone, over all queried instances.
 func printTotal(w io.Writer, all []entry.ZoneReport) {
 	running := map[string]int{}
 	for _, p := range all {
@@ -88,6 +88,6 @@
 		}
 	}
 	for zone, n := range running {
-		fmt.Fprintf(w, "evacuated\t%s\t%d requests of the %d instances asked\n", zone, n, len(all))
+		fmt.Fprintf(w, "evacuated\t%s\t%d requests of the %d instances queried\n", zone, n, len(all))
 	}
 }
