--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,8 @@
 // Package client is the Go client of tacktally.
 //
-// It keeps issued idempotency keys in hand, retries only what may be retried,
-// obeys Retry-After, resumes a broken stream where it broke, and hands the
-// outcome to its user as a typed value.
+// It fetches idempotency keys in advance, retries only requests that may be retried,
+// obeys Retry-After, resumes interrupted streams, and returns the outcome of each
+// request as a typed value.
 package client
 
 import (
@@ -23,11 +23,11 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// Defaults of Options.
+// Defaults.
 const (
 	DefaultKeysInHand  = 8
 	DefaultMaxAttempts = 4
-	// defaultRetryDelay is waited where an answer names no time to come back.
+	// defaultRetryDelay is the retry delay if the response gives none.
 	defaultRetryDelay = 200 * time.Millisecond
 )
 
@@ -37,15 +37,15 @@
 	URL string
 	// APIKey of the organisation. Required.
 	APIKey string
-	// HTTP makes the calls; a client of its own by default.
+	// HTTP is the HTTP client to use. Default: a new one.
 	HTTP *http.Client
-	// KeysInHand is how many issued keys are fetched at once. Default 8.
+	// KeysInHand is the number of idempotency keys that are fetched at once. Default 8.
 	KeysInHand int
-	// MaxAttempts bounds the attempts of one request. Default 4.
+	// MaxAttempts is the maximum number of attempts of a request. Default 4.
 	MaxAttempts int
 }
 
-// Client calls tacktally. Safe for concurrent use.
+// Client sends requests to tacktally. Safe for concurrent use.
 type Client struct {
 	o Options
 
@@ -53,10 +53,10 @@
 	keys []string
 }
 
-// New returns a client.
+// New returns a Client.
 func New(o Options) (*Client, error) {
 	if o.URL == "" || o.APIKey == "" {
-		return nil, errors.New("client: URL or APIKey is empty; give both")
+		return nil, errors.New("client: URL or APIKey is empty; set both")
 	}
 	if o.HTTP == nil {
 		o.HTTP = &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()}
@@ -70,26 +70,26 @@
 	return &Client{o: o}, nil
 }
 
-// Request is one request.
+// Request is a request to an engine or a service.
 type Request struct {
-	// Method defaults to POST.
+	// Method is GET, POST, PUT, PATCH or DELETE. Default POST.
 	Method string
-	// Path such as /v1/chat/completions or /services/bookings/confirm.
+	// Path is a path such as /v1/chat/completions or /services/bookings/confirm.
 	Path string
 	Body []byte
-	// ContentType defaults to application/json.
+	// ContentType is the media type of the body. Default application/json.
 	ContentType string
-	// Tier is the organisation's default where empty.
+	// Tier is the tier of the request. Default: the organisation's default tier.
 	Tier string
-	// Timeout for the whole answer; the tier's where 0.
+	// Timeout is the time for the whole response. Default: the timeout of the tier.
 	Timeout time.Duration
-	// NonIdempotent requests run at most once, whatever fails.
+	// NonIdempotent marks a request that must run at most once, regardless of failures.
 	NonIdempotent bool
 }
 
-// Result is an answer and what is known of the run.
+// Result is the response to a request that was answered.
 type Result struct {
-	// Outcome is answered, also when the upstream answered with an error status.
+	// Outcome is answered, also if the upstream answered with an error status.
 	Outcome  api.Outcome
 	Status   int
 	Header   http.Header
@@ -97,13 +97,14 @@
 	Attempts int
 }
 
-// Error tells how a request ended that wasn't answered. Its Outcome is not-run
-// when the request surely didn't run, else unknown.
+// Error is the error of a request that wasn't answered.
 type Error struct {
+	// Outcome is not-run if the request certainly didn't run, and unknown otherwise.
 	Outcome api.Outcome
-	// Problem is the last one told; nil when no instance answered.
+	// Problem is the last problem that an instance returned; nil if none did.
 	Problem *api.Problem
-	// Err is the last failure of a connection, if any.
+	// Err is the last failure without a problem, such as a broken connection, or else the
+	// error of the context; nil if there was neither.
 	Err      error
 	Attempts int
 }
@@ -116,10 +117,11 @@
 	return fmt.Sprintf("%s after %d attempts: %v", e.Outcome, e.Attempts, e.Err)
 }
 
-// Unwrap returns the failure of the connection, if any.
+// Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Do sends a request until it is answered or given up. The error is an *Error.
+// Do sends a request, with retries where they are allowed, and blocks until it is answered, has
+// failed or ctx is done. The error is an *Error.
 func (c *Client) Do(ctx context.Context, r Request) (*Result, error) {
 	s := &requestState{client: c, request: r}
 	defer s.finish()
@@ -131,27 +133,28 @@
 				return result, nil
 			}
 		}
-		pause, again := s.handleFailure(err)
-		if !again || !wait.For(ctx, pause) {
+		delay, retry := s.handleFailure(err)
+		if !retry || !wait.For(ctx, delay) {
 			return nil, s.newError(ctx)
 		}
 	}
 }
 
-// requestState is the state of one request over its attempts.
+// requestState is the state of a request across its attempts.
 type requestState struct {
 	client   *Client
 	request  Request
 	key      string
-	lastID   string // of the last event received, for a stream
+	lastID   string // ID of the last event received from a stream
 	attempts int
-	used     bool // the key was sent
-	// uncertain is set once an attempt under the key may have reached an upstream.
+	used     bool // whether the key was sent
+	// uncertain reports whether an attempt under the key may have reached an upstream.
 	uncertain bool
 	problem   *api.Problem
 	err       error
 }
 
+// newError returns the error of the request after its last attempt.
 func (s *requestState) newError(ctx context.Context) *Error {
 	e := &Error{Outcome: api.NotRun, Problem: s.problem, Err: s.err, Attempts: s.attempts}
 	if e.Err == nil {
@@ -163,7 +166,7 @@
 	return e
 }
 
-// finish gives back a key that was never used.
+// finish returns the key to the client if it was never sent.
 func (s *requestState) finish() {
 	if s.key != "" && !s.used {
 		s.client.releaseKey(s.key)
@@ -230,16 +233,16 @@
 	}
 	h, err := b.Request()
 	if err != nil {
-		return nil, fmt.Errorf("client: the request can't be built; check URL and path: %w", err)
+		return nil, fmt.Errorf("client: build the request; check URL and path: %w", err)
 	}
-	h.GetBody = nil // net/http must not repeat it by itself
+	h.GetBody = nil // prevents net/http from retrying on its own
 	return h, nil
 }
 
-// errIncomplete: an answer broke off.
-var errIncomplete = errors.New("the answer broke off")
+// errIncomplete is the error of a response that was truncated.
+var errIncomplete = errors.New("the response was truncated")
 
-// read takes in a whole answer, or the problem in its place.
+// read reads a whole response. A problem is returned as the error.
 func (s *requestState) read(response *http.Response) (*Result, error) {
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
@@ -257,7 +260,7 @@
 	var p api.Problem
 	if err := json.Unmarshal(body, &p); err != nil {
 		s.uncertain = true
-		return fmt.Errorf("the instance answered %s without a readable problem: %w", response.Status, err)
+		return fmt.Errorf("decode the problem of a response with status %s: %w", response.Status, err)
 	}
 	if p.RetryAfterSeconds == 0 {
 		p.RetryAfterSeconds, _ = strconv.Atoi(response.Header.Get("Retry-After"))
@@ -265,31 +268,32 @@
 	return &p
 }
 
-// handleFailure decides after a failed attempt whether to send again, and when.
-func (s *requestState) handleFailure(err error) (pause time.Duration, again bool) {
-	pause = defaultRetryDelay
+// handleFailure records the failure of an attempt. It reports whether to retry, and after which delay.
+func (s *requestState) handleFailure(err error) (delay time.Duration, retry bool) {
+	delay = defaultRetryDelay
 	var p *api.Problem
 	if errors.As(err, &p) {
 		s.problem, s.err = p, nil
 		if p.RetryAfterSeconds > 0 {
-			pause = time.Duration(p.RetryAfterSeconds) * time.Second
+			delay = time.Duration(p.RetryAfterSeconds) * time.Second
 		}
-		again = s.handleProblem(p)
+		retry = s.handleProblem(p)
 	} else {
 		s.err = err
-		again = true // the same key, so that it joins an earlier attempt
+		retry = true // under the same key, so that it joins an earlier attempt
 	}
-	return pause, again && s.attempts < s.client.o.MaxAttempts
+	return delay, retry && s.attempts < s.client.o.MaxAttempts
 }
 
+// handleProblem updates the key and the certainty after a problem, and reports whether to retry.
 func (s *requestState) handleProblem(p *api.Problem) bool {
 	switch {
 	case p.Reason == api.ReasonKeyRequired && p.IdempotencyKey != "":
-		s.request.NonIdempotent = true // the operator declared it so
+		s.request.NonIdempotent = true // as the operator declared
 		s.key = p.IdempotencyKey
 		return true
 	case p.Outcome == api.NotRun:
-		// The key is void: nothing ran, and nothing will under it.
+		// The key is void: no attempt under it ran, and none will.
 		s.key = ""
 		s.uncertain = false
 		return p.RetryAfterSeconds > 0
@@ -308,7 +312,7 @@
 	return p.Reason == api.ReasonIssuerUnreachable
 }
 
-// acquireKey returns an issued key, and fetches more when none is in hand.
+// acquireKey returns an issued key. It fetches KeysInHand keys if the client has none left.
 func (c *Client) acquireKey(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	if n := len(c.keys); n > 0 {
@@ -328,6 +332,7 @@
 	return keys[0], nil
 }
 
+// releaseKey returns an unused key to the client.
 func (c *Client) releaseKey(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -348,7 +353,7 @@
 	if response.StatusCode != http.StatusOK {
 		var p api.Problem
 		if err := json.UnmarshalRead(response.Body, &p); err != nil {
-			return nil, fmt.Errorf("no keys: the instance answered %s", response.Status)
+			return nil, fmt.Errorf("fetch idempotency keys: the instance answered %s", response.Status)
 		}
 		return nil, &p
 	}
@@ -359,7 +364,7 @@
 		return nil, err
 	}
 	if len(list.Keys) == 0 {
-		return nil, errors.New("no keys were issued; come back later")
+		return nil, errors.New("no idempotency keys were issued; retry later")
 	}
 	return list.Keys, nil
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -45,7 +45,7 @@
 }
 
 // The official OpenAI client works against the callers' API.
-func TestOpenAIClient(t *testing.T) {
+func TestOpenAIClientIsSupported(t *testing.T) {
 	is := is.New(t)
 	r := start(t, 1)
 	c := openai.NewClient(option.WithBaseURL(r.URL(0)+"/v1"), option.WithAPIKey(rig.APIKey))
@@ -82,7 +82,7 @@
 	booked, err := c.Do(t.Context(), client.Request{Path: "/services/bookings/confirm", Body: []byte("7"), NonIdempotent: true})
 	is.NoErr(err)
 	is.Equal(string(booked.Body), service.Answer("7"))
-	booked, err = c.Do(t.Context(), client.Request{Path: "/services/bookings/confirm", Body: []byte("8")}) // learns by the 428
+	booked, err = c.Do(t.Context(), client.Request{Path: "/services/bookings/confirm", Body: []byte("8")}) // the response with status 428 carries the key
 	is.NoErr(err)
 	is.Equal(booked.Attempts, 2)
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":4,"messages":[]}`, rig.Model)
@@ -97,7 +97,7 @@
 	is.Equal(e.Outcome, api.NotRun)
 }
 
-// readAll reads a stream, checks that it is the whole answer to the body, and
+// readAll reads a stream, checks that it is the whole response to the body, and
 // returns the number of tokens.
 func readAll(t *testing.T, s *client.Stream, body string) int {
 	t.Helper()
@@ -115,15 +115,15 @@
 	}
 }
 
-// front is a balancer that breaks the connection to the caller.
-type front struct {
+// brokenProxy is a load balancer that breaks connections to the caller.
+type brokenProxy struct {
 	url    string
-	breaks atomic.Int32 // connections still to break
-	after  int          // bytes of the answer passed on before
+	breaks atomic.Int32 // number of connections to break
+	after  int          // bytes of the response that are passed on first
 	sent   atomic.Int32
 }
 
-func (f *front) ServeHTTP(w http.ResponseWriter, h *http.Request) {
+func (f *brokenProxy) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	f.sent.Add(1)
 	out, err := http.NewRequestWithContext(h.Context(), h.Method, f.url+h.URL.Path, h.Body)
 	if err != nil {
@@ -148,12 +148,12 @@
 	_, _ = io.Copy(w, response.Body)
 }
 
-// A broken connection after the request ran: the repeat under the same key gets
-// the answer, and it ran once.
-func TestRepeatsUnderTheSameKey(t *testing.T) {
+// The connection breaks after the request ran. The retry under the same key gets the response,
+// and the request ran once.
+func TestRetryUnderSameKeyRunsOnce(t *testing.T) {
 	is := is.New(t)
 	r := start(t, 1)
-	f := &front{url: r.URL(0)}
+	f := &brokenProxy{url: r.URL(0)}
 	f.breaks.Store(2)
 	server := httptest.NewServer(f)
 	defer server.Close()
@@ -164,15 +164,15 @@
 	is.Equal(len(r.Service.Calls()), 1)
 }
 
-// A stream that breaks on its way to the caller goes on where it broke, keyed or
-// not, and the engine runs it once.
-func TestStreamIsResumed(t *testing.T) {
+// A stream whose connection to the caller breaks is resumed where it broke, with or without a
+// key, and the engine runs it once.
+func TestInterruptedStreamIsResumed(t *testing.T) {
 	for _, nonIdempotent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("non-idempotent %t", nonIdempotent), func(t *testing.T) {
 			is := is.New(t)
 			r := start(t, 1)
 			body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":6,"messages":[{"role":"user","content":"dossier"}]}`, rig.Model)
-			f := &front{url: r.URL(0), after: 900}
+			f := &brokenProxy{url: r.URL(0), after: 900}
 			f.breaks.Store(1)
 			server := httptest.NewServer(f)
 			defer server.Close()
@@ -185,25 +185,25 @@
 	}
 }
 
-// What comes of a request by what the instance says. Scripts are the answers in
-// turn; the last is repeated.
-func TestRetries(t *testing.T) {
-	wait := func(p *api.Problem) *api.Problem { return p.WithRetryAfter(time.Second) }
+// The outcome of a request, its attempts and its keys, by the problems that instances return.
+// A script lists the responses in order; the last one is repeated.
+func TestRetriesByProblem(t *testing.T) {
+	retryAfter := func(p *api.Problem) *api.Problem { return p.WithRetryAfter(time.Second) }
 	for name, c := range map[string]struct {
 		nonIdempotent bool
 		script        []*api.Problem // nil answers with 200
 		outcome       api.Outcome
 		attempts      int
-		keys          int // different keys that were sent
+		keys          int // number of different keys sent
 	}{
-		"not-run takes a new key":                      {true, []*api.Problem{wait(api.Refuse(api.ReasonQueueFull, "full")), nil}, api.Answered, 2, 2},
-		"not-run without a time to come back ends":     {true, []*api.Problem{api.Refuse(api.ReasonPromptTooLong, "long")}, api.NotRun, 1, 1},
-		"unknown ends a non-idempotent":                {true, []*api.Problem{api.UnknownOutcome(api.ReasonUpstreamLost, "lost"), nil}, api.Unknown, 1, 1},
-		"unknown repeats an idempotent":                {false, []*api.Problem{api.UnknownOutcome(api.ReasonUpstreamLost, "lost"), nil}, api.Answered, 2, 0},
-		"issuer unreachable keeps the key":             {true, []*api.Problem{wait(api.UnknownOutcome(api.ReasonIssuerUnreachable, "cut")), nil}, api.Answered, 2, 1},
-		"issuer gone and nothing sent takes a new key": {true, []*api.Problem{api.UnknownOutcome(api.ReasonIssuerGone, "gone").WithAttemptNotRun(), nil}, api.Answered, 2, 2},
-		"issuer gone and perhaps sent ends":            {true, []*api.Problem{api.UnknownOutcome(api.ReasonIssuerGone, "gone")}, api.Unknown, 1, 1},
-		"issuer gone after a doubtful attempt ends":    {true, []*api.Problem{wait(api.UnknownOutcome(api.ReasonIssuerUnreachable, "cut")), api.UnknownOutcome(api.ReasonIssuerGone, "gone").WithAttemptNotRun()}, api.Unknown, 2, 1},
+		"not-run uses a new key":                      {true, []*api.Problem{retryAfter(api.Refuse(api.ReasonQueueFull, "full")), nil}, api.Answered, 2, 2},
+		"not-run without a retry time ends":           {true, []*api.Problem{api.Refuse(api.ReasonPromptTooLong, "long")}, api.NotRun, 1, 1},
+		"unknown ends a non-idempotent":               {true, []*api.Problem{api.UnknownOutcome(api.ReasonUpstreamLost, "lost"), nil}, api.Unknown, 1, 1},
+		"unknown retries an idempotent":               {false, []*api.Problem{api.UnknownOutcome(api.ReasonUpstreamLost, "lost"), nil}, api.Answered, 2, 0},
+		"issuer unreachable keeps the key":            {true, []*api.Problem{retryAfter(api.UnknownOutcome(api.ReasonIssuerUnreachable, "cut")), nil}, api.Answered, 2, 1},
+		"issuer gone and nothing sent uses a new key": {true, []*api.Problem{api.UnknownOutcome(api.ReasonIssuerGone, "gone").WithAttemptNotRun(), nil}, api.Answered, 2, 2},
+		"issuer gone and perhaps sent ends":           {true, []*api.Problem{api.UnknownOutcome(api.ReasonIssuerGone, "gone")}, api.Unknown, 1, 1},
+		"issuer gone after an uncertain attempt ends": {true, []*api.Problem{retryAfter(api.UnknownOutcome(api.ReasonIssuerUnreachable, "cut")), api.UnknownOutcome(api.ReasonIssuerGone, "gone").WithAttemptNotRun()}, api.Unknown, 2, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -226,7 +226,7 @@
 	}
 }
 
-// script answers requests in turn.
+// script answers requests with its responses in order.
 type script struct {
 	answers []*api.Problem
 	keys    map[string]bool
@@ -252,12 +252,12 @@
 		p.Type, p.Status, p.Detail, p.Outcome, p.AttemptOutcome, p.Reason, p.RetryAfterSeconds)
 }
 
-func TestGivesUpWithTheContext(t *testing.T) {
+func TestDoEndsWithContext(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := connect(t, "http://127.0.0.1:1").Do(ctx, client.Request{Path: "/x", NonIdempotent: true})
 	var e *client.Error
 	is.True(errors.As(err, &e))
-	is.Equal(e.Outcome, api.NotRun) // no key, nothing sent
+	is.Equal(e.Outcome, api.NotRun) // there was no key, so nothing was sent
 }
--- a/client/stream.go
+++ b/client/stream.go
@@ -21,7 +21,7 @@
 	maxEventBytes     = 1 << 20
 )
 
-// Stream is a streamed answer. It is for one goroutine.
+// Stream is a streamed response. It must be used by one goroutine at a time.
 type Stream struct {
 	ctx      context.Context
 	request  *requestState
@@ -30,8 +30,8 @@
 	done     bool
 }
 
-// Stream sends a request whose body asks for a streamed answer. The error is an
-// *Error. Close the stream when done.
+// Stream sends a request whose body asks for a streamed response, and blocks until the stream
+// is open. The error is an *Error. The caller must close the stream.
 func (c *Client) Stream(ctx context.Context, r Request) (*Stream, error) {
 	s := &Stream{ctx: ctx, request: &requestState{client: c, request: r}}
 	if err := s.connect(); err != nil {
@@ -40,7 +40,8 @@
 	return s, nil
 }
 
-// connect sends the request, from the last event on, until a stream is open.
+// connect sends the request, with retries, until a stream is open. The stream continues after
+// the last event received.
 func (s *Stream) connect() error {
 	for {
 		response, err := s.request.attempt(s.ctx)
@@ -51,13 +52,13 @@
 			}
 			_, err = s.request.read(response)
 			if err == nil {
-				err = fmt.Errorf("the answer is no stream; ask for one in the body")
+				err = fmt.Errorf("the response is not a stream; ask for one in the body")
 				s.request.err = err
 				return s.request.newError(s.ctx)
 			}
 		}
-		pause, again := s.request.handleFailure(err)
-		if !again || !wait.For(s.ctx, pause) {
+		delay, retry := s.request.handleFailure(err)
+		if !retry || !wait.For(s.ctx, delay) {
 			return s.request.newError(s.ctx)
 		}
 	}
@@ -69,9 +70,9 @@
 	s.lines.Buffer(nil, maxEventBytes)
 }
 
-// Next returns the data of the next event. It returns io.EOF after the last, and
-// an *Error when the stream can't be completed. A stream that breaks is resumed
-// where it broke, without reading the prompt again.
+// Next returns the data of the next event. It blocks until an event arrives. It returns io.EOF
+// after the last event, and an *Error if the stream can't be completed. An interrupted stream
+// is resumed after the last event received, without another prefill of the prompt.
 func (s *Stream) Next() ([]byte, error) {
 	for !s.done {
 		data, err := s.event()
@@ -89,7 +90,7 @@
 	return nil, io.EOF
 }
 
-// event reads one event of the open stream.
+// event reads the next event of the open stream. An error event is returned as an error.
 func (s *Stream) event() ([]byte, error) {
 	var data []byte
 	id := ""
@@ -117,6 +118,7 @@
 	return nil, errors.Join(errIncomplete, s.lines.Err())
 }
 
+// problemOf returns the problem in the data of an error event.
 func problemOf(data []byte) error {
 	var e struct {
 		Error *api.Problem `json:"error"`
@@ -127,19 +129,19 @@
 	return e.Error
 }
 
-// reconnect resumes after the last event received. A stream that can't be resumed
-// isn't begun anew: its user has seen a part already.
+// reconnect resumes the stream after the last event received. A stream that can't be resumed
+// isn't started again, since its user has already received a part of it.
 func (s *Stream) reconnect(cause error) error {
 	s.response.Body.Close()
-	pause, again := s.request.handleFailure(cause)
+	delay, retry := s.request.handleFailure(cause)
 	s.request.uncertain = true
-	if s.request.lastID == "" || !again || !wait.For(s.ctx, pause) {
+	if s.request.lastID == "" || !retry || !wait.For(s.ctx, delay) {
 		return s.request.newError(s.ctx)
 	}
 	return s.connect()
 }
 
-// Close ends the stream.
+// Close closes the stream and its connection.
 func (s *Stream) Close() error {
 	s.done = true
 	return s.response.Body.Close()
