--- /dev/null
+++ b/internal/listen/limited_listener.go
@@ -0,0 +1,101 @@
+package listen
+
+import (
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// LimitedListener limits the number of open connections of callers. At the limit it still
+// accepts a new connection, and closes the one that has been idle longest. If no connection is
+// idle, the new one is closed at once without being read, which shows its caller that nothing
+// ran. If the instance stopped accepting instead, callers would wait although it reports
+// itself as ready.
+//
+// The http.Server that serves the listener must have ConnState as its ConnState hook. Safe for
+// concurrent use.
+type LimitedListener struct {
+	net.Listener
+	maxConns int
+	// onRefused is called for each new connection that is closed without being read.
+	onRefused func()
+
+	mu   sync.Mutex
+	open map[net.Conn]struct{}
+	idle map[net.Conn]time.Time // when each idle connection became idle
+}
+
+// NewLimitedListener returns a listener that limits l to maxConns open connections. Accept calls
+// onRefused for each new connection that is closed without being read.
+func NewLimitedListener(l net.Listener, maxConns int, onRefused func()) *LimitedListener {
+	return &LimitedListener{Listener: l, maxConns: maxConns, onRefused: onRefused, open: map[net.Conn]struct{}{}, idle: map[net.Conn]time.Time{}}
+}
+
+// Accept implements net.Listener. It blocks until there is a connection that may stay open.
+func (l *LimitedListener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if l.admit(conn) {
+			return conn, nil
+		}
+		l.onRefused()
+		_ = conn.Close() // nothing was read
+	}
+}
+
+// admit adds a connection, after closing an idle one at the limit. It reports whether the
+// connection may stay open.
+func (l *LimitedListener) admit(conn net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.open) >= l.maxConns && !l.closeIdle() {
+		return false
+	}
+	l.open[conn] = struct{}{}
+	l.idle[conn] = time.Now()
+	return true
+}
+
+// closeIdle closes the connection that has been idle longest, and reports whether there was
+// one. The caller must hold l.mu.
+func (l *LimitedListener) closeIdle() bool {
+	var longest net.Conn
+	for conn, since := range l.idle {
+		if longest == nil || since.Before(l.idle[longest]) {
+			longest = conn
+		}
+	}
+	if longest == nil {
+		return false
+	}
+	l.remove(longest)
+	_ = longest.Close() // its caller sees the end of the connection
+	return true
+}
+
+// remove removes a connection that has ended. The caller must hold l.mu.
+func (l *LimitedListener) remove(conn net.Conn) {
+	delete(l.open, conn)
+	delete(l.idle, conn)
+}
+
+// ConnState records the state of a connection. It is the hook for http.Server.ConnState.
+func (l *LimitedListener) ConnState(conn net.Conn, s http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if _, ok := l.open[conn]; !ok {
+		return // closed to admit another connection
+	}
+	switch s {
+	case http.StateActive:
+		delete(l.idle, conn)
+	case http.StateIdle:
+		l.idle[conn] = time.Now()
+	case http.StateClosed, http.StateHijacked:
+		l.remove(conn)
+	}
+}
--- /dev/null
+++ b/internal/listen/limited_listener_test.go
@@ -0,0 +1,122 @@
+package listen
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// limitedServer is a server with a limited number of connections. Requests to /hold block until
+// release is closed.
+type limitedServer struct {
+	t       *testing.T
+	address string
+	refused atomic.Int32
+	begun   chan struct{}
+	release chan struct{}
+	idle    chan struct{} // gets a value after the listener has recorded a connection as idle
+}
+
+func serve(t *testing.T, maxConns int) *limitedServer {
+	t.Helper()
+	server := &limitedServer{t: t, begun: make(chan struct{}, 9), release: make(chan struct{}), idle: make(chan struct{}, 9)}
+	l, err := TCP("test", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.address = l.Addr().String()
+	limited := NewLimitedListener(l, maxConns, func() { server.refused.Add(1) })
+	state := func(conn net.Conn, now http.ConnState) {
+		limited.ConnState(conn, now)
+		if now == http.StateIdle {
+			server.idle <- struct{}{}
+		}
+	}
+	s := &http.Server{ConnState: state, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/hold" {
+			server.begun <- struct{}{}
+			<-server.release
+		}
+	})}
+	go func() { _ = s.Serve(limited) }()
+	t.Cleanup(func() { s.Close() })
+	return server
+}
+
+// caller is a connection of a caller.
+type caller struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+func (s *limitedServer) dial() *caller {
+	s.t.Helper()
+	c, err := net.Dial("tcp", s.address)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { c.Close() })
+	return &caller{c, bufio.NewReader(c)}
+}
+
+func (c *caller) send(path string) error {
+	_, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n")
+	return err
+}
+
+// answered reports whether the next thing received is a response and not the end of the connection.
+func (c *caller) answered() bool {
+	r, err := http.ReadResponse(c.reader, nil)
+	return err == nil && r.StatusCode == http.StatusOK
+}
+
+func TestLongestIdleConnectionIsClosedForNewOne(t *testing.T) {
+	is := is.New(t)
+	server := serve(t, 2)
+	first, second := server.dial(), server.dial()
+	for _, c := range []*caller{first, second} {
+		is.NoErr(c.send("/"))
+		is.True(c.answered())
+		<-server.idle // the response arrives before the connection is recorded as idle
+	}
+	third := server.dial()
+	is.NoErr(third.send("/"))
+	is.True(third.answered())
+	_, err := first.reader.ReadByte()
+	is.True(errors.Is(err, io.EOF)) // it was idle longest
+	is.NoErr(second.send("/"))
+	is.True(second.answered())
+	is.Equal(server.refused.Load(), int32(0))
+}
+
+// Connections that never send a request must not keep callers out.
+func TestConnectionsWithoutRequestsAreClosedForNewOnes(t *testing.T) {
+	is := is.New(t)
+	server := serve(t, 3)
+	for range 10 {
+		server.dial()
+	}
+	c := server.dial()
+	is.NoErr(c.send("/"))
+	is.True(c.answered())
+}
+
+func TestNewConnectionIsClosedUnreadWhileAllAreBusy(t *testing.T) {
+	is := is.New(t)
+	server := serve(t, 1)
+	busy := server.dial()
+	is.NoErr(busy.send("/hold"))
+	<-server.begun
+	refused := server.dial()
+	_, err := refused.reader.ReadByte()
+	is.True(err != nil)
+	is.Equal(server.refused.Load(), int32(1))
+	close(server.release)
+	is.True(busy.answered()) // the busy connection wasn't affected
+}
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen opens the listeners that settings name.
+// Package listen opens listeners, and limits the number of their connections.
 package listen
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/tacktally/tacktally/internal/keepalive"
 )
 
-// TCP opens a listener and names the setting when it can't. A connection whose other side
-// is gone ends within keepalive.UnreadAfter.
+// TCP listens on a TCP address. The error names the setting that holds the address. A connection
+// whose peer has disappeared is closed within keepalive.UnreadAfter.
 func TCP(setting, address string) (net.Listener, error) {
 	l, err := (&net.ListenConfig{KeepAliveConfig: keepalive.Config()}).Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("%s %s can't be listened on; free it or choose another: %w", setting, address, err)
+		return nil, fmt.Errorf("listen on %s %s; free the address or choose another: %w", setting, address, err)
 	}
 	return keepalive.Listener(l), nil
 }
 
-// Advertised returns the address under which others reach a listener. Port 0, which
-// only stand-ins and tests use, becomes the port listened on.
+// Advertised returns the address at which others reach a listener. If the port of advertise is
+// 0, as in tests and with fakes, it returns the address of the listener.
 func Advertised(advertise string, l net.Listener) string {
 	if strings.HasSuffix(advertise, ":0") {
 		return l.Addr().String()
