--- a/internal/certificates/certificates.go
+++ b/internal/certificates/certificates.go
@@ -1,5 +1,5 @@
-// Package certificates makes TLS configurations from files that are read again
-// when they change, so that certificates are renewed without a restart.
+// Package certificates builds TLS configurations from certificate files. The files
+// are reloaded when they change, so that certificates can be renewed without a restart.
 package certificates
 
 import (
@@ -14,20 +14,20 @@
 	"github.com/tacktally/tacktally/internal/settings"
 )
 
-// checkInterval is how often a file's time of change is looked at, at most.
+// checkInterval is the minimum time between two checks of the files' modification times.
 const checkInterval = time.Second
 
-// Server returns the configuration of a listener. With a client CA it lets in
-// only clients with a certificate that the CA signed.
+// Server returns the TLS configuration of a listener. With a client CA, clients must
+// present a certificate signed by that CA.
 func Server(t settings.TLS) (*tls.Config, error) {
-	f := &reloader{paths: t}
-	if err := f.load(); err != nil {
+	r := &reloader{paths: t}
+	if err := r.load(); err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			certificate, pool := f.current()
+			certificate, pool := r.current()
 			c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*certificate}, NextProtos: []string{"http/1.1"}}
 			if pool != nil {
 				c.ClientAuth = tls.RequireAndVerifyClientCert
@@ -38,46 +38,49 @@
 	}, nil
 }
 
-// Client returns what makes the configuration of each dialling to a peer: the
-// instance shows its certificate and wants one of the same CA. Peers are dialled by
-// IP number, so that their certificates must name it.
+// Client returns a function that returns the TLS configuration for the next connection
+// to a peer. The instance presents its certificate, and the peer must present one that is
+// signed by the client CA. Peers are dialled by IP address, so that their certificates must
+// contain it.
 func Client(t settings.TLS) (func() *tls.Config, error) {
 	if t.ClientCAFile == "" {
 		return nil, errors.New("peers.tls.clientCAFile is missing; name the CA that signs the instances' certificates")
 	}
-	f := &reloader{paths: t}
-	if err := f.load(); err != nil {
+	r := &reloader{paths: t}
+	if err := r.load(); err != nil {
 		return nil, err
 	}
 	return func() *tls.Config {
-		certificate, pool := f.current()
+		certificate, pool := r.current()
 		return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, Certificates: []tls.Certificate{*certificate}}
 	}, nil
 }
 
-// reloader holds what was last read. Safe for concurrent use.
+// reloader holds the content of certificate files, and reloads them when they change. Safe for
+// concurrent use.
 type reloader struct {
 	paths settings.TLS
 
 	mu          sync.Mutex
 	certificate *tls.Certificate
 	pool        *x509.CertPool
-	changed     time.Time
-	checked     time.Time
+	modified    time.Time // modification time of the files when they were last reloaded
+	checked     time.Time // time of the last check
 }
 
-func (f *reloader) load() error {
-	certificate, err := tls.LoadX509KeyPair(f.paths.CertificateFile, f.paths.KeyFile)
+// load reads the files. If it fails, the content stays as it is.
+func (r *reloader) load() error {
+	certificate, err := tls.LoadX509KeyPair(r.paths.CertificateFile, r.paths.KeyFile)
 	if err != nil {
-		return fmt.Errorf("certificate %s can't be used; give a matching certificate and key: %w", f.paths.CertificateFile, err)
+		return fmt.Errorf("load certificate %s; give a matching certificate and key: %w", r.paths.CertificateFile, err)
 	}
-	pool, err := loadPool(f.paths.ClientCAFile)
+	pool, err := loadPool(r.paths.ClientCAFile)
 	if err != nil {
 		return err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.certificate, f.pool = &certificate, pool
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.certificate, r.pool = &certificate, pool
 	return nil
 }
 
@@ -87,49 +90,49 @@
 	}
 	content, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("clientCAFile can't be read; name a readable file: %w", err)
+		return nil, fmt.Errorf("read clientCAFile; name a readable file: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, fmt.Errorf("clientCAFile %s holds no certificate; give PEM", name)
+		return nil, fmt.Errorf("clientCAFile %s contains no certificate; give one in PEM", name)
 	}
 	return pool, nil
 }
 
-// current returns what the files hold. While they can't be read, as in the midst
-// of a renewal, what was read before stays in use.
-func (f *reloader) current() (*tls.Certificate, *x509.CertPool) {
-	if changed, due := f.needsReload(); due && f.load() == nil {
-		f.mu.Lock()
-		f.changed = changed
-		f.mu.Unlock()
+// current returns the certificate and the CA pool. While the files can't be loaded, such as
+// during a renewal, it returns the previous ones.
+func (r *reloader) current() (*tls.Certificate, *x509.CertPool) {
+	if modified, due := r.needsReload(); due && r.load() == nil {
+		r.mu.Lock()
+		r.modified = modified
+		r.mu.Unlock()
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.certificate, f.pool
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.certificate, r.pool
 }
 
-// needsReload tells whether the files have changed since they were last read whole, and
-// when the later of the two did.
-func (f *reloader) needsReload() (changed time.Time, due bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// needsReload reports whether the files have changed since they were last reloaded, and returns
+// the latest of their modification times. It reports false within checkInterval of the last check.
+func (r *reloader) needsReload() (modified time.Time, due bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := time.Now()
-	if now.Sub(f.checked) < checkInterval {
-		return changed, false
+	if now.Sub(r.checked) < checkInterval {
+		return modified, false
 	}
-	f.checked = now
-	for _, name := range []string{f.paths.CertificateFile, f.paths.KeyFile, f.paths.ClientCAFile} {
+	r.checked = now
+	for _, name := range []string{r.paths.CertificateFile, r.paths.KeyFile, r.paths.ClientCAFile} {
 		if name == "" {
 			continue
 		}
 		info, err := os.Stat(name)
 		if err != nil {
-			return changed, false
+			return modified, false
 		}
-		if info.ModTime().After(changed) {
-			changed = info.ModTime()
+		if info.ModTime().After(modified) {
+			modified = info.ModTime()
 		}
 	}
-	return changed, changed.After(f.changed)
+	return modified, modified.After(r.modified)
 }
--- a/internal/certificates/certificates_test.go
+++ b/internal/certificates/certificates_test.go
@@ -38,39 +38,39 @@
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER})
 }
 
-// A renewal seen between the writing of its two files is taken up when both are
-// there; meanwhile the old certificate stays in use.
-func TestRenewalInTwoSteps(t *testing.T) {
+// A renewal writes the certificate and the key one after the other. The old certificate stays in
+// use until both match, and also after a file was removed.
+func TestCertificateStaysInUseUntilRenewalIsComplete(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	names := settings.TLS{CertificateFile: filepath.Join(dir, "c"), KeyFile: filepath.Join(dir, "k")}
+	paths := settings.TLS{CertificateFile: filepath.Join(dir, "c"), KeyFile: filepath.Join(dir, "k")}
 	at := time.Now().Add(-time.Hour)
 	write := func(name string, content []byte) {
 		at = at.Add(time.Minute)
 		is.NoErr(os.WriteFile(name, content, 0o600))
 		is.NoErr(os.Chtimes(name, at, at))
 	}
-	f := &reloader{paths: names}
+	f := &reloader{paths: paths}
 	serial := func() int64 {
-		f.checked = time.Time{} // due again
+		f.checked = time.Time{} // makes the next check due
 		c, _ := f.current()
 		return c.Leaf.SerialNumber.Int64()
 	}
 	oldCert, oldKey := certificate(t, 1)
 	newCert, newKey := certificate(t, 2)
-	write(names.CertificateFile, oldCert)
-	write(names.KeyFile, oldKey)
+	write(paths.CertificateFile, oldCert)
+	write(paths.KeyFile, oldKey)
 	is.NoErr(f.load())
 	is.Equal(serial(), int64(1))
-	write(names.CertificateFile, newCert)
+	write(paths.CertificateFile, newCert)
 	is.Equal(serial(), int64(1))
-	write(names.KeyFile, newKey)
+	write(paths.KeyFile, newKey)
 	is.Equal(serial(), int64(2))
-	is.NoErr(os.Remove(names.KeyFile))
+	is.NoErr(os.Remove(paths.KeyFile))
 	is.Equal(serial(), int64(2))
 }
 
-func TestUnfitFilesAreNamed(t *testing.T) {
+func TestErrorsNameTheRemedy(t *testing.T) {
 	is := is.New(t)
 	_, err := Server(settings.TLS{CertificateFile: "none", KeyFile: "none"})
 	is.True(strings.Contains(err.Error(), "give a matching certificate and key"))
