--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch turns accepted snapshots into a log of changes to resources,
-// which watchers follow from a revision.
+// Package watch keeps a log of the changes to resources between accepted snapshots.
+// Watchers follow the log from a revision on.
 package watch
 
 import (
@@ -15,24 +15,24 @@
 	"github.com/tacktally/tacktally/internal/config"
 )
 
-// maxEvents bounds the changes remembered.
+// maxEvents is the maximum number of changes in the log.
 const maxEvents = 4096
 
-// ErrTooOld: changes since the revision are no longer all known. List again and
-// watch from the revision of the list.
+// ErrTooOld is returned for a revision after which not all changes are in the log. List
+// the resources again and watch from the revision of the list.
 var ErrTooOld = errors.New("the revision is too old to watch from; list again and watch from the list's revision")
 
-// Type of a change.
+// Type is the type of a change.
 type Type string
 
-// The types.
+// Types of changes.
 const (
 	Added    Type = "added"
 	Modified Type = "modified"
 	Deleted  Type = "deleted"
 )
 
-// Event is one change of one resource.
+// Event is a change of a resource.
 type Event struct {
 	Type     Type           `json:"type"`
 	Revision int64          `json:"revision"`
@@ -41,12 +41,12 @@
 	Object   jsontext.Value `json:"object,omitzero"`
 }
 
-// Log remembers the latest changes. Safe for concurrent use.
+// Log holds the latest changes. Safe for concurrent use.
 type Log struct {
 	mu       sync.Mutex
 	current  map[resourceKey]any // resources as declared
 	revision int64
-	oldest   int64 // changes after this revision are all known
+	oldest   int64 // all changes after this revision are in events
 	events   []Event
 	changed  chan struct{}
 }
@@ -56,10 +56,11 @@
 	name string
 }
 
-// NewLog returns an empty log.
+// NewLog returns an empty Log.
 func NewLog() *Log { return &Log{current: map[resourceKey]any{}, changed: make(chan struct{})} }
 
-// Add takes the next accepted snapshot.
+// Add adds the changes from the previous snapshot to an accepted one, and wakes the watchers. It
+// ignores a snapshot that is not newer.
 func (l *Log) Add(s *config.Snapshot) {
 	next := flatten(s.Document)
 	l.mu.Lock()
@@ -68,7 +69,7 @@
 		return
 	}
 	if l.revision == 0 {
-		l.oldest = s.Revision // nothing is known of what was before
+		l.oldest = s.Revision // earlier changes are unknown
 	} else {
 		l.events = append(l.events, diff(l.current, next, s.Revision)...)
 	}
@@ -86,9 +87,8 @@
 	}
 }
 
-// Next returns the changes of a kind after a revision, and the revision they
-// lead to. It blocks until there is a later revision or ctx ends. An empty kind
-// stands for all.
+// Next returns the changes of a kind after a revision, and the current revision. It blocks
+// until there is a later revision or ctx is done. An empty kind selects all kinds.
 func (l *Log) Next(ctx context.Context, kind api.Kind, after int64) ([]Event, int64, error) {
 	for {
 		l.mu.Lock()
@@ -123,11 +123,11 @@
 func diff(old, next map[resourceKey]any, revision int64) []Event {
 	var out []Event
 	for key, resource := range next {
-		before, existed := old[key]
+		previous, existed := old[key]
 		switch {
 		case !existed:
 			out = append(out, Event{Type: Added, Revision: revision, Kind: key.kind, Name: key.name, Object: encode(resource)})
-		case !reflect.DeepEqual(before, resource):
+		case !reflect.DeepEqual(previous, resource):
 			out = append(out, Event{Type: Modified, Revision: revision, Kind: key.kind, Name: key.name, Object: encode(resource)})
 		}
 	}
@@ -139,7 +139,7 @@
 	return out
 }
 
-// flatten lists the resources by name. They point into the document.
+// flatten returns pointers to all resources of a document, by kind and name.
 func flatten(d *api.Document) map[resourceKey]any {
 	out := make(map[resourceKey]any, len(d.Organisations)+len(d.Tiers)+len(d.EngineSets)+len(d.Services))
 	for i := range d.Organisations {
@@ -157,10 +157,11 @@
 	return out
 }
 
-// redactedDigits is how much of a key's hash is shown: enough to tell keys apart.
+// redactedDigits is the number of digits of a key's hash that are shown, which is enough to
+// distinguish keys.
 const redactedDigits = 8
 
-// Redact shortens the hashes of an organisation's keys for showing.
+// Redact returns a copy of an organisation for display, with the hashes of its API keys shortened.
 func Redact(o api.Organisation) api.Organisation {
 	hashes := make([]string, len(o.Spec.APIKeyHashes))
 	for i, h := range o.Spec.APIKeyHashes {
