--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTimeNeverGoesBack(t *testing.T) {
+func TestTimeNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	last, suspended := Now(), Suspended()
 	for range 1000 {
