--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// minWords and wordsHigh bound a prompt: lengths differ a hundredfold.
+	// minWords and maxWords limit the length of a prompt. The lengths differ by a factor of up to 100.
 	minWords  = 20
 	maxWords  = 2000
 	maxOutput = 64
@@ -39,21 +39,22 @@
 	counts map[string]*tierCounts
 }
 
-// tierCounts is what became of a tier's requests.
+// tierCounts counts the outcomes of a tier's requests.
 type tierCounts struct {
 	sent, answered, notRun, unknown int
-	first                           *hdrhistogram.Histogram // ms to the first byte
+	firstByte                       *hdrhistogram.Histogram // time to the first byte, in ms
 }
 
 func newTraffic(o Options, url string) *traffic {
 	t := &traffic{o: o, url: url, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}, counts: map[string]*tierCounts{}}
 	for _, name := range tiers {
-		t.counts[name] = &tierCounts{first: hdrhistogram.New(1, 120_000, 2)}
+		t.counts[name] = &tierCounts{firstByte: hdrhistogram.New(1, 120_000, 2)}
 	}
 	return t
 }
 
-// run sends at the rate until ctx ends, and reports as it goes.
+// run sends requests at the rate of the options and prints a report every reportInterval. It
+// blocks until ctx is done.
 func (t *traffic) run(ctx context.Context) {
 	send := time.NewTicker(time.Duration(float64(time.Second) / max(t.o.Rate, 0.1)))
 	defer send.Stop()
@@ -74,6 +75,7 @@
 	}
 }
 
+// request sends a chat completion or a booking.
 func (t *traffic) request(ctx context.Context) {
 	tier := tiers[rand.IntN(len(tiers))]
 	if rand.IntN(8) == 0 {
@@ -86,8 +88,8 @@
 	t.do(ctx, tier, "/v1/chat/completions", body, "")
 }
 
-// book confirms a booking, which must run at most once: the first answer is 428
-// with a key, the second confirms under it.
+// book confirms a booking, which must run at most once. The response to the first request has
+// status 428 and a key, with which the second request is sent.
 func (t *traffic) book(ctx context.Context, tier string) {
 	body := fmt.Sprintf(`{"lorry":%d}`, rand.IntN(1000))
 	if key := t.do(ctx, "", "/services/"+rig.Bookings+"/confirm", body, ""); key != "" {
@@ -95,8 +97,8 @@
 	}
 }
 
-// do sends one request, counts it under the tier unless that is empty, and
-// returns the issued key of a 428.
+// do sends a request, counts its outcome under the tier unless that is empty, and returns
+// the issued key of a response with status 428.
 func (t *traffic) do(ctx context.Context, tier, path, body, key string) string {
 	s := sling.New().Base(t.url).Post(path).Body(bytes.NewReader([]byte(body))).
 		Set("Authorization", "Bearer "+rig.APIKey).Set(api.HeaderTier, tier)
@@ -107,7 +109,7 @@
 	if err != nil {
 		return ""
 	}
-	begun := time.Now()
+	start := time.Now()
 	response, err := t.client.Do(h.WithContext(ctx))
 	if err != nil {
 		return ""
@@ -115,14 +117,14 @@
 	defer response.Body.Close()
 	reader := bufio.NewReader(response.Body)
 	_, _ = reader.Peek(1)
-	first := time.Since(begun)
+	firstByte := time.Since(start)
 	_, err = io.Copy(io.Discard, reader)
 	outcome := api.Outcome(response.Header.Get(api.HeaderOutcome))
-	if last := response.Trailer.Get(api.HeaderOutcome); last != "" {
-		outcome = api.Outcome(last)
+	if trailer := response.Trailer.Get(api.HeaderOutcome); trailer != "" {
+		outcome = api.Outcome(trailer)
 	}
 	if err == nil && ctx.Err() == nil && tier != "" {
-		t.count(tier, outcome, first)
+		t.count(tier, outcome, firstByte)
 	}
 	if response.StatusCode == http.StatusPreconditionRequired {
 		return issuedKey(response)
@@ -132,7 +134,7 @@
 
 func issuedKey(r *http.Response) string { return r.Header.Get(api.HeaderIssuedKey) }
 
-func (t *traffic) count(tier string, o api.Outcome, first time.Duration) {
+func (t *traffic) count(tier string, o api.Outcome, firstByte time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.counts[tier]
@@ -140,7 +142,7 @@
 	switch o {
 	case api.Answered:
 		c.answered++
-		_ = c.first.RecordValue(max(first.Milliseconds(), 1))
+		_ = c.firstByte.RecordValue(max(firstByte.Milliseconds(), 1))
 	case api.NotRun:
 		c.notRun++
 	default:
@@ -156,7 +158,7 @@
 	for _, name := range tiers {
 		c := t.counts[name]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d ms\t%d ms\t\n", name, c.sent, c.answered, c.notRun, c.unknown,
-			c.first.ValueAtQuantile(50), c.first.ValueAtQuantile(95))
+			c.firstByte.ValueAtQuantile(50), c.firstByte.ValueAtQuantile(95))
 	}
 	_ = w.Flush()
 	fmt.Fprintln(t.o.Out)
