--- a/cmd/tacktally/main.go
+++ b/cmd/tacktally/main.go
@@ -1,7 +1,7 @@
 // Command tacktally is the operators' command line.
 //
-// Exit codes: 0 done, 1 the call failed or a document was rejected, 2 the
-// arguments are wrong.
+// Exit codes: 0 success, 1 the call failed or a document was rejected, 2 the
+// arguments are invalid.
 package main
 
 import (
@@ -13,6 +13,6 @@
 )
 
 func main() {
-	users := cli.Platform{Decode: (&platform.Source{}).Decode, Demo: demo.Run} // the source reads nothing
-	os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr, users))
+	functions := cli.Platform{Decode: (&platform.Source{}).Decode, Demo: demo.Run} // Decode needs no connection
+	os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr, functions))
 }
--- a/cmd/tacktallyd/main.go
+++ b/cmd/tacktallyd/main.go
@@ -1,7 +1,7 @@
-// Command tacktallyd is the daemon that runs on an entry instance.
+// Command tacktallyd is the daemon: it runs one instance.
 //
-// Exit codes: 0 after a graceful shutdown, 1 when it can't run, 2 when its
-// arguments or settings are wrong, 3 when an interrupt cut the shutdown short.
+// Exit codes: 0 after a graceful shutdown, 1 if the instance can't start, 2 if the
+// arguments or settings are invalid, 3 if an interrupt aborted the shutdown.
 package main
 
 import (
@@ -29,7 +29,7 @@
 
 type options struct {
 	Settings string `short:"s" long:"settings" value-name:"FILE" default:"tacktallyd.json" description:"Settings file (JSON); docs/SETTINGS.md describes it"`
-	Check    bool   `long:"check" description:"Check the settings, print every fault, and exit"`
+	Check    bool   `long:"check" description:"Validate the settings, print all faults, and exit"`
 	Version  bool   `long:"version" description:"Print the version and exit"`
 }
 
@@ -42,7 +42,7 @@
 		if errors.As(err, &f) && f.Type == flags.ErrHelp {
 			return 0
 		}
-		return exitSettings // go-flags has printed what is wrong
+		return exitSettings // go-flags has printed the error
 	}
 	if o.Version {
 		fmt.Println("tacktallyd", daemon.Version())
@@ -60,15 +60,18 @@
 	return serve(o.Settings, s)
 }
 
-// instance is a running instance of either kind.
+// instance is an instance of either kind: one for routed requests, or one that reads from the
+// platform.
 type instance interface {
+	// Run serves requests until ctx is done, then shuts down gracefully.
 	Run(ctx context.Context)
 }
 
+// serve runs an instance until a signal ends it, and returns the exit code.
 func serve(path string, s *settings.Settings) int {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP) // before anything listens: unhandled, it would end the process
-	i, err := build(path, s, hangUps)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP) // before anything listens, since an unhandled SIGHUP ends the process
+	i, err := build(path, s, hangups)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tacktallyd:", err)
 		return exitFailed
@@ -86,8 +89,8 @@
 	return 0
 }
 
-// awaitInterrupt blocks until an operator interrupts the shutdown. Supervisors repeat
-// SIGTERM, which must not cut requests that run.
+// awaitInterrupt blocks until an operator interrupts the shutdown with SIGINT. Further SIGTERMs,
+// which supervisors repeat, must not abort running requests.
 func awaitInterrupt(signals <-chan os.Signal) {
 	for s := range signals {
 		if s == syscall.SIGINT {
@@ -96,8 +99,9 @@
 	}
 }
 
-// build makes the instance that the settings ask for.
-func build(path string, s *settings.Settings, hangUps <-chan os.Signal) (instance, error) {
+// build returns the instance that the settings describe. Signals on hangups make an instance for
+// routed requests reload its settings.
+func build(path string, s *settings.Settings, hangups <-chan os.Signal) (instance, error) {
 	if s.Routed == nil {
 		return daemon.New(s, os.Stdout)
 	}
@@ -110,6 +114,6 @@
 	if err != nil {
 		return nil, err
 	}
-	go reload(path, hangUps, i)
+	go reload(path, hangups, i)
 	return i, nil
 }
--- a/cmd/tacktallyd/main_test.go
+++ b/cmd/tacktallyd/main_test.go
@@ -20,7 +20,8 @@
 	"github.com/tacktally/tacktally/internal/standin/service"
 )
 
-// argumentsVariable makes the test binary run as tacktallyd with the arguments in it.
+// argumentsVariable is the environment variable that makes the test binary run as tacktallyd, with
+// the arguments that it holds.
 const argumentsVariable = "TACKTALLYD_TEST_ARGUMENTS"
 
 func TestMain(m *testing.M) {
@@ -46,13 +47,13 @@
 	return path
 }
 
-const alone = `{"zone": "bole", "callers": {"address": "127.0.0.1:0"}, "operators": {"address": "127.0.0.1:0"},
+const minimalSettings = `{"zone": "bole", "callers": {"address": "127.0.0.1:0"}, "operators": {"address": "127.0.0.1:0"},
 	"peers": {"address": "127.0.0.1:0", "advertise": "127.0.0.1:9"}, "platform": {"url": "http://127.0.0.1:9"}}`
 
 func TestExitCodes(t *testing.T) {
-	good := settingsFile(t, alone)
+	good := settingsFile(t, minimalSettings)
 	bad := settingsFile(t, `{"zone": ""}`)
-	taken := settingsFile(t, strings.Replace(alone, "127.0.0.1:0", "203.0.113.1:1", 1))
+	taken := settingsFile(t, strings.Replace(minimalSettings, "127.0.0.1:0", "203.0.113.1:1", 1))
 	for name, c := range map[string]struct {
 		arguments string
 		code      int
@@ -77,10 +78,10 @@
 	}
 }
 
-// One signal shuts down gracefully, and the end is told.
-func TestSignalShutsDown(t *testing.T) {
+// A signal shuts the daemon down gracefully, and the log shows it.
+func TestSignalShutsDownGracefully(t *testing.T) {
 	is := is.New(t)
-	run := command("-s " + settingsFile(t, alone))
+	run := command("-s " + settingsFile(t, minimalSettings))
 	log, err := run.StdoutPipe()
 	is.NoErr(err)
 	is.NoErr(run.Start())
@@ -97,24 +98,24 @@
 	is.True(strings.Contains(seen, "event=stopped"))
 }
 
-// An interrupt ends a shutdown that waits for requests in flight, with an exit code of its
-// own. A second SIGTERM doesn't: supervisors repeat it.
-func TestWhatCutsTheShutdownShort(t *testing.T) {
+// SIGINT aborts a shutdown that waits for requests, with its own exit code. A second SIGTERM
+// doesn't, since supervisors repeat it.
+func TestOnlyInterruptAbortsShutdown(t *testing.T) {
 	for name, c := range map[string]struct {
 		second syscall.Signal
 		code   int
 	}{
 		"interrupt":      {syscall.SIGINT, exitForced},
-		"the same again": {syscall.SIGTERM, 0},
+		"second SIGTERM": {syscall.SIGTERM, 0},
 	} {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(endInFlight(t, c.second), c.code) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(stopDuringRequest(t, c.second), c.code) })
 	}
 }
 
-// endInFlight ends a daemon that serves a request by SIGTERM, sends it a second signal
-// while it waits for the request, and returns its exit code. The request ends once the
-// second signal was handled, if that doesn't end the daemon.
-func endInFlight(t *testing.T, second syscall.Signal) int {
+// stopDuringRequest sends SIGTERM to a daemon that serves a request, and a second signal while it
+// waits for the request, and returns its exit code. If the second signal is SIGTERM, the request
+// ends after it was sent.
+func stopDuringRequest(t *testing.T, second syscall.Signal) int {
 	is := is.New(t)
 	arrived, hold := make(chan service.Call, 1), make(chan struct{})
 	if second != syscall.SIGTERM {
@@ -127,18 +128,18 @@
 		t.Cleanup(s.CloseClientConnections)
 		return s.URL
 	}
-	upstreamAt := serve(upstream)
+	upstreamURL := serve(upstream)
 	p := standinplatform.New()
 	document, err := json.Marshal(rig.Document())
 	is.NoErr(err)
 	p.Publish(1, document)
-	p.SetInstances([]platform.Instance{{Address: strings.TrimPrefix(upstreamAt, "http://"), Zone: "bole", Set: rig.Bookings, State: platform.Live}})
-	run := command("-s " + settingsFile(t, strings.Replace(alone, "http://127.0.0.1:9", serve(p), 1)))
+	p.SetInstances([]platform.Instance{{Address: strings.TrimPrefix(upstreamURL, "http://"), Zone: "bole", Set: rig.Bookings, State: platform.Live}})
+	run := command("-s " + settingsFile(t, strings.Replace(minimalSettings, "http://127.0.0.1:9", serve(p), 1)))
 	log, err := run.StdoutPipe()
 	is.NoErr(err)
 	is.NoErr(run.Start())
 	lines := bufio.NewScanner(log)
-	callers, listed, asked := "", false, false
+	callers, listed, sent := "", false, false
 	for lines.Scan() {
 		for _, pair := range strings.Fields(lines.Text()) {
 			if rest, ok := strings.CutPrefix(pair, "callers="); ok {
@@ -147,8 +148,8 @@
 		}
 		listed = listed || strings.Contains(lines.Text(), "event=instances")
 		switch {
-		case listed && callers != "" && !asked: // the list may come before the line that names the callers' address
-			asked = true
+		case listed && callers != "" && !sent: // the list may be logged before the callers' address
+			sent = true
 			go post(callers)
 			<-arrived
 			is.NoErr(run.Process.Signal(syscall.SIGTERM))
@@ -163,7 +164,7 @@
 	return run.ProcessState.ExitCode()
 }
 
-// post calls the service until the daemon, which has just its list, serves it.
+// post calls the service until the daemon, which has just received its list, serves the call.
 func post(callers string) {
 	for {
 		h, err := http.NewRequest(http.MethodPost, "http://"+callers+"/services/"+rig.Bookings+"/lookup", nil)
--- a/cmd/tacktallyd/reload.go
+++ b/cmd/tacktallyd/reload.go
@@ -9,24 +9,25 @@
 	"github.com/tacktally/tacktally/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at: it may change without a
-// signal. Seeds are all that is taken over, and are needed only when links are lost.
+// reloadInterval is the interval at which the settings file is checked for changes, which may
+// come without a signal. It can be long: only seeds are applied, and they are needed only when
+// links are lost.
 const reloadInterval = 5 * time.Second
 
-// reload hands changed settings to the instance, at a SIGHUP, which comes on hangUps, and
-// when the file has changed, for as long as the process runs.
-func reload(path string, hangUps <-chan os.Signal, i *entry.Instance) {
+// reload passes the settings to the instance after each signal on hangups, and whenever the file
+// has changed. It never returns.
+func reload(path string, hangups <-chan os.Signal, i *entry.Instance) {
 	changes := time.NewTicker(reloadInterval)
-	last, _ := os.ReadFile(path) // it was read a moment ago
+	last, _ := os.ReadFile(path) // it was readable at startup
 	for {
-		hungUp := false
+		signalled := false
 		select {
-		case <-hangUps:
-			hungUp = true
+		case <-hangups:
+			signalled = true
 		case <-changes.C:
 		}
 		content, err := os.ReadFile(path)
-		if err == nil && !hungUp && bytes.Equal(content, last) {
+		if err == nil && !signalled && bytes.Equal(content, last) {
 			continue
 		}
 		last = content
