--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -34,13 +34,13 @@
 	address := "http://" + r.Daemons[0].OperatorAddress()
 	return r, func(args ...string) (int, string, string) {
 		var out, errOut bytes.Buffer
-		code := Run(append([]string{"--address", address}, args...), &out, &errOut, users)
+		code := Run(append([]string{"--address", address}, args...), &out, &errOut, fakePlatform)
 		return code, out.String(), errOut.String()
 	}
 }
 
-// users is a fake of the users' platform.
-var users = Platform{Decode: decodeRouted, Demo: func(_ context.Context, out io.Writer) error {
+// fakePlatform is a fake of the users' platform.
+var fakePlatform = Platform{Decode: decodeRouted, Demo: func(_ context.Context, out io.Writer) error {
 	_, err := io.WriteString(out, "the demo of routed requests\n")
 	return err
 }}
@@ -75,7 +75,7 @@
 			file := filepath.Join(t.TempDir(), "routed.json")
 			is.NoErr(os.WriteFile(file, []byte(c.document), 0o600))
 			var out, errOut bytes.Buffer
-			is.Equal(Run([]string{"-o", c.output, "validate", "--routed", file}, &out, &errOut, users), c.code)
+			is.Equal(Run([]string{"-o", c.output, "validate", "--routed", file}, &out, &errOut, fakePlatform), c.code)
 			if output := out.String() + errOut.String(); !strings.Contains(output, c.want) {
 				t.Error(output)
 			}
@@ -152,7 +152,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var out, errOut bytes.Buffer
-			is.Equal(Run(c.args, &out, &errOut, users), c.code)
+			is.Equal(Run(c.args, &out, &errOut, fakePlatform), c.code)
 			is.True(strings.Contains(out.String()+errOut.String(), c.want))
 		})
 	}
@@ -177,24 +177,24 @@
 		urls = append(urls, "--metrics", s.URL)
 	}
 	var out, errOut bytes.Buffer
-	is.Equal(Run(append([]string{"places"}, urls...), &out, &errOut, users), ExitDone)
+	is.Equal(Run(append([]string{"places"}, urls...), &out, &errOut, fakePlatform), ExitDone)
 	is.True(strings.Contains(out.String(), "7 requests of the 2 instances queried"))
 	is.True(strings.Contains(out.String(), "for 1200 ms more"))
-	is.Equal(Run([]string{"places", "--metrics", "http://127.0.0.1:1"}, &out, &errOut, users), ExitFailed)
+	is.Equal(Run([]string{"places", "--metrics", "http://127.0.0.1:1"}, &out, &errOut, fakePlatform), ExitFailed)
 	is.True(strings.Contains(errOut.String(), "routed.metrics"))
 }
 
 func TestDemoRoutedRunsDemoOfPlatform(t *testing.T) {
 	is := is.New(t)
 	var out, errOut bytes.Buffer
-	is.Equal(Run([]string{"demo", "--routed"}, &out, &errOut, users), ExitDone)
+	is.Equal(Run([]string{"demo", "--routed"}, &out, &errOut, fakePlatform), ExitDone)
 	is.Equal(out.String(), "the demo of routed requests\n")
 }
 
 func TestErrorWithoutInstanceNamesAddressFlag(t *testing.T) {
 	is := is.New(t)
 	var out, errOut bytes.Buffer
-	is.Equal(Run([]string{"--address", "http://127.0.0.1:1", "status"}, &out, &errOut, users), ExitFailed)
+	is.Equal(Run([]string{"--address", "http://127.0.0.1:1", "status"}, &out, &errOut, fakePlatform), ExitFailed)
 	is.True(strings.Contains(errOut.String(), "name another with --address"))
 }
 
@@ -222,7 +222,7 @@
 	content, err := json.Marshal(d)
 	is.NoErr(err)
 	reader, writer := io.Pipe()
-	go Run([]string{"--address", "http://" + r.Daemons[0].OperatorAddress(), "watch", "--after", "1"}, writer, io.Discard, users)
+	go Run([]string{"--address", "http://" + r.Daemons[0].OperatorAddress(), "watch", "--after", "1"}, writer, io.Discard, fakePlatform)
 	r.Platform.Publish(2, content)
 	lines := bufio.NewReader(reader)
 	seen := map[string]bool{}
