--- a/tools/tools.go
+++ b/tools/tools.go
@@ -1,6 +1,6 @@
 //go:build tools
 
-// Package tools pins the versions of the linter that CI runs.
+// Package tools pins the version of the linter that CI runs.
 package tools
 
 import _ "honnef.co/go/tools/cmd/staticcheck"
