--- a/tools/docgen/main.go
+++ b/tools/docgen/main.go
@@ -1,6 +1,6 @@
-// Command docgen writes the reference pages of settings and resources from the
-// doc comments of the typed structs. With -check it fails when a page differs from
-// what it would write. Run it at the root of the repository.
+// Command docgen generates the reference pages of settings, resources and reasons from
+// doc comments. With -check it writes nothing, and fails if a page is out of date. Run it
+// at the root of the repository.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-// page is one reference page and what it is made from.
+// page is a reference page that is generated from a struct and the structs in it.
 type page struct {
 	path   string
 	title  string
@@ -29,21 +29,21 @@
 	{
 		path:   "docs/SETTINGS.md",
 		title:  "Settings of tacktallyd",
-		intro:  "The settings file is JSON. `tacktallyd --check -s FILE` checks it and prints every\nfault. Durations are texts such as `\"1.5s\"`. `examples/tacktallyd.json` is an example.",
+		intro:  "The settings file is JSON. `tacktallyd --check -s FILE` validates it and prints all\nfaults. Durations are texts such as `\"1.5s\"`. `examples/tacktallyd.json` is an example.",
 		source: "internal/settings/settings.go",
 		root:   "Settings",
 	},
 	{
 		path:   "docs/RESOURCES.md",
 		title:  "Resources",
-		intro:  "Operators publish all resources as one JSON document of at most 1 MB at the\nplatform's configuration service, under a revision that rises. `tacktally validate`\nsays what every instance would say to a document; `examples/document.json` is an\nexample. A document with any fault is rejected whole, and what is in force stays.",
+		intro:  "Operators publish all resources as one JSON document of at most 1 MB at the\nplatform's configuration service, under increasing revisions. `tacktally validate`\nreports whether instances would accept a document; `examples/document.json` is an\nexample. A document with any fault is rejected as a whole, and the configuration in\nforce stays.",
 		source: "api/resources.go",
 		root:   "Document",
 	},
 }
 
 func main() {
-	check := flag.Bool("check", false, "fail when a page differs from what would be written")
+	check := flag.Bool("check", false, "write nothing, and fail if a page is out of date")
 	flag.Parse()
 	for _, p := range pages {
 		if err := p.run(*check); err != nil {
@@ -62,7 +62,7 @@
 	reasonsSource = "api/outcome.go"
 )
 
-// writeReasonsPage writes the page of refusal and retry writeReasonsPage from the constants' comments.
+// writeReasonsPage writes or checks the page of reasons, from the comments of the constants.
 func writeReasonsPage(check bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), reasonsSource, nil, parser.ParseComments)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "# Reasons\n\n<!-- Written by go run ./tools/docgen from %s. -->\n\n", reasonsSource)
-	out.WriteString("Each refusal, unknown outcome and retry has one of these reasons: in the answer's\n`reason`, in the log's `reason=`, and as the label of its counter\n(`tacktally_refusals_total`, `tacktally_retries_total`).\n")
+	out.WriteString("Each refusal, unknown outcome and retry has one of these reasons. It is the `reason`\nof the response, `reason=` in the log, and the label of the counter\n(`tacktally_refusals_total`, `tacktally_retries_total`).\n")
 	for _, decl := range file.Decls {
 		if block, ok := decl.(*ast.GenDecl); ok && block.Tok == token.CONST && block.Lparen.IsValid() {
 			writeReasonTable(&out, block)
@@ -79,6 +79,8 @@
 	return write(reasonsPath, reasonsSource, out.Bytes(), check)
 }
 
+// writeReasonTable writes a table of the reasons in a block of constants. It ignores blocks of other
+// types.
 func writeReasonTable(out *bytes.Buffer, block *ast.GenDecl) {
 	first := block.Specs[0].(*ast.ValueSpec)
 	if kind, ok := first.Type.(*ast.Ident); !ok || kind.Name != "Reason" {
@@ -98,8 +100,10 @@
 	}
 }
 
+// oneLine replaces line breaks and repeated spaces by single spaces.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
+// run writes or checks the page.
 func (p page) run(check bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), p.source, nil, parser.ParseComments)
 	if err != nil {
@@ -112,26 +116,28 @@
 	return write(p.path, p.source, g.out.Bytes(), check)
 }
 
-// write writes a page, or checks that it is what it would be.
+// write writes a page, or checks that its file has the content.
 func write(path, source string, content []byte, check bool) error {
 	if !check {
 		return os.WriteFile(path, content, 0o644)
 	}
-	have, err := os.ReadFile(path)
+	current, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(have, content) {
-		return fmt.Errorf("%s is not what %s says; run go run ./tools/docgen and commit it", path, source)
+	if !bytes.Equal(current, content) {
+		return fmt.Errorf("%s is out of date with %s; run go run ./tools/docgen and commit the page", path, source)
 	}
 	return nil
 }
 
+// generator writes the table of a page.
 type generator struct {
 	types map[string]*ast.StructType
 	out   bytes.Buffer
 }
 
+// structs returns the struct types of a file by name.
 func structs(file *ast.File) map[string]*ast.StructType {
 	out := map[string]*ast.StructType{}
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -145,22 +151,24 @@
 	return out
 }
 
-// fields writes a row for each field of a struct, and goes into structs.
+// fields writes a row for each field of a struct, and for the fields of nested structs. path is the
+// JSON pointer of the struct.
 func (g *generator) fields(name, path string) {
 	for _, f := range g.types[name].Fields.List {
-		at := path + "/" + jsonName(f)
+		fieldPath := path + "/" + jsonName(f)
 		kind, inner := describe(f.Type)
-		fmt.Fprintf(&g.out, "| `%s` | %s | %s |\n", at, kind, doc(f))
+		fmt.Fprintf(&g.out, "| `%s` | %s | %s |\n", fieldPath, kind, doc(f))
 		if g.types[inner] == nil {
 			continue
 		}
 		if strings.HasPrefix(kind, "list") {
-			at += "/N"
+			fieldPath += "/N"
 		}
-		g.fields(inner, at)
+		g.fields(inner, fieldPath)
 	}
 }
 
+// jsonName returns the JSON key of a field.
 func jsonName(f *ast.Field) string {
 	text, err := strconv.Unquote(f.Tag.Value)
 	if err != nil {
@@ -170,28 +178,29 @@
 	return name
 }
 
-// typeNames names Go types for operators.
+// typeNames describes Go types for operators.
 var typeNames = map[string]string{
 	"string": "text", "bool": "true or false", "int": "whole number", "int64": "whole number",
 	"float64": "number", "Duration": "duration", "CallerIDPolicy": "text",
 }
 
-// describe words a type, and names the struct inside it.
-func describe(e ast.Expr) (words, inner string) {
+// describe returns the description of a type for operators, and the name of its innermost type.
+func describe(e ast.Expr) (description, inner string) {
 	switch t := e.(type) {
 	case *ast.Ident:
 		return typeName(t.Name), t.Name
 	case *ast.StarExpr:
-		w, inner := describe(t.X)
-		return w, inner
+		description, inner := describe(t.X)
+		return description, inner
 	case *ast.ArrayType:
-		w, inner := describe(t.Elt)
-		return "list of " + w, inner
+		description, inner := describe(t.Elt)
+		return "list of " + description, inner
 	default:
 		return "value", ""
 	}
 }
 
+// typeName returns the description of a named type for operators.
 func typeName(name string) string {
 	if w, ok := typeNames[name]; ok {
 		return w
@@ -199,6 +208,7 @@
 	return "object"
 }
 
+// doc returns the doc comment of a field as the text of a table cell.
 func doc(f *ast.Field) string {
 	return strings.ReplaceAll(oneLine(f.Doc.Text()), "|", "\\|")
 }
