--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -1,6 +1,6 @@
-// Command suite runs all tests with the race detector. It passes over the tests that
-// KNOWN-RED.txt lists, prints that list at the end, and fails on anything else. Run it at
-// the root of the repository; what stands behind it goes to "go test" as it is.
+// Command suite runs all tests with the race detector. It skips the tests that KNOWN-RED.txt
+// lists, prints the list at the end, and fails if any other test fails. Run it at the root of
+// the repository; its arguments are passed to "go test".
 package main
 
 import (
@@ -13,11 +13,11 @@
 	"strings"
 )
 
-// knownRed is the list of tests that fail for a known cause: one a line, which begins with the
-// test's name, or a subtest's path.
+// knownRed is the file that lists the tests with known failures, one per line. A line begins with
+// the name of the test or the path of the subtest.
 const knownRed = "KNOWN-RED.txt"
 
-// packages are all of both modules of the workspace.
+// packages selects all packages of both modules of the workspace.
 var packages = []string{"./...", "./tools/..."}
 
 func main() {
@@ -27,33 +27,33 @@
 	}
 }
 
-// run runs the tests and blocks until they have ended. It fails with the first fault.
-func run(more []string) error {
+// run runs the tests and blocks until they have ended. It returns the first error.
+func run(extra []string) error {
 	list, err := os.ReadFile(knownRed)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("the list of known failures isn't readable: %w", err)
+		return fmt.Errorf("read the list of known failures: %w", err)
 	}
 	names, err := parseNames(string(list))
 	if err != nil {
 		return err
 	}
-	tests := exec.Command("go", arguments(names, more)...)
+	tests := exec.Command("go", arguments(names, extra)...)
 	tests.Stdout = os.Stdout
 	tests.Stderr = os.Stderr
 	if err := tests.Run(); err != nil {
 		return fmt.Errorf("tests failed: %w", err)
 	}
 	if len(names) > 0 {
-		fmt.Printf("known red, passed over:\n%s", list)
+		fmt.Printf("known failures, skipped:\n%s", list)
 	}
 	return nil
 }
 
-// namePattern is what a line of the list begins with.
+// namePattern matches the beginning of a line of the list.
 var namePattern = regexp.MustCompile(`^(Test\w+(?:/\w+)*) \(`)
 
-// parseNames returns the tests that a list names. A line that names none is an error: it would pass
-// over nothing, or too much.
+// parseNames returns the names of the tests in a list. A line without a name is an error, since it
+// would skip nothing, or too much.
 func parseNames(list string) (names []string, err error) {
 	for line := range strings.Lines(list) {
 		if strings.TrimSpace(line) == "" {
@@ -61,14 +61,14 @@
 		}
 		name := namePattern.FindStringSubmatch(line)
 		if name == nil {
-			return nil, fmt.Errorf("%s: begin each line with a test's name and its command in brackets, not with %.40q", knownRed, line)
+			return nil, fmt.Errorf("%s: begin each line with the name of a test and its command in parentheses, not with %.40q", knownRed, line)
 		}
 		names = append(names, name[1])
 	}
 	return names, nil
 }
 
-// skipPattern is the pattern that matches some tests, or subtests by their paths, and no others.
+// skipPattern returns a pattern for "go test -skip" that matches exactly the given tests and subtests.
 func skipPattern(names []string) string {
 	var patterns []string
 	for _, name := range names {
@@ -78,11 +78,11 @@
 	return strings.Join(patterns, "|")
 }
 
-// arguments of the command "go".
-func arguments(passedOver, more []string) []string {
+// arguments returns the arguments of the command "go" that runs all tests but the skipped ones.
+func arguments(skipped, extra []string) []string {
 	out := []string{"test", "-race"}
-	if len(passedOver) > 0 {
-		out = append(out, "-skip", skipPattern(passedOver))
+	if len(skipped) > 0 {
+		out = append(out, "-skip", skipPattern(skipped))
 	}
-	return append(append(out, more...), packages...)
+	return append(append(out, extra...), packages...)
 }
--- a/tools/suite/main_test.go
+++ b/tools/suite/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestNamesInAList(t *testing.T) {
+func TestParseNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  string
 		names []string
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestWhatIsPassedOverIsNamedWhole(t *testing.T) {
+func TestSkippedTestsAreMatchedExactly(t *testing.T) {
 	got := strings.Join(arguments([]string{"TestA", "TestB/4/saying"}, []string{"-count=1"}), " ")
 	if want := "test -race -skip ^TestA$|^TestB$/^4$/^saying$ -count=1 ./... ./tools/..."; got != want {
 		t.Errorf("%q, want %q", got, want)
