--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -174,7 +174,7 @@
 		Attempt:          req.Attempt,
 		Limits:           f.limitsForOwner(s.service),
 		Zone:             f.o.Zone,
-		Restricted:       r.RegionConstraint.Bound,
+		Restricted:       r.RegionConstraint.Restricted,
 		Regions:          r.RegionConstraint.Regions,
 	}
 	for _, p := range req.Segments {
@@ -206,7 +206,7 @@
 		FailedUpstream:    r.Exclude,
 		ExcludedUpstreams: r.Unavailable,
 		Zone:              r.Zone,
-		RegionConstraint:  scheduler.RegionConstraint{Bound: r.Restricted, Regions: r.Regions},
+		RegionConstraint:  scheduler.RegionConstraint{Restricted: r.Restricted, Regions: r.Regions},
 	}
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -78,10 +78,10 @@
 
 // RegionConstraint is the set of regions in which a request may run.
 type RegionConstraint struct {
-	// Bound reports whether the request is restricted to Regions; otherwise it may
+	// Restricted reports whether the request is restricted to Regions; otherwise it may
 	// run in any region.
-	Bound   bool
-	Regions []string
+	Restricted bool
+	Regions    []string
 }
 
 // RegionConstraintOf returns where requests of an organisation on a route may run:
@@ -94,9 +94,9 @@
 		regions = o.AllowedRegions
 	default:
 		regions = slices.DeleteFunc(slices.Clone(regions), func(region string) bool { return !slices.Contains(o.AllowedRegions, region) })
-		return RegionConstraint{Bound: true, Regions: regions}
+		return RegionConstraint{Restricted: true, Regions: regions}
 	}
-	return RegionConstraint{Bound: len(regions) > 0, Regions: regions}
+	return RegionConstraint{Restricted: len(regions) > 0, Regions: regions}
 }
 
 // WeightedService is a service that gets a share of a route's requests, in
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -110,15 +110,15 @@
 		want                RegionConstraint
 	}{
 		"none":              {nil, nil, RegionConstraint{}},
-		"route only":        {[]string{"a"}, nil, RegionConstraint{Bound: true, Regions: []string{"a"}}},
-		"organisation only": {nil, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
-		"both":              {[]string{"a", "b"}, []string{"b", "c"}, RegionConstraint{Bound: true, Regions: []string{"b"}}},
-		"both, disjoint":    {[]string{"a"}, []string{"b"}, RegionConstraint{Bound: true, Regions: []string{}}},
+		"route only":        {[]string{"a"}, nil, RegionConstraint{Restricted: true, Regions: []string{"a"}}},
+		"organisation only": {nil, []string{"b"}, RegionConstraint{Restricted: true, Regions: []string{"b"}}},
+		"both":              {[]string{"a", "b"}, []string{"b", "c"}, RegionConstraint{Restricted: true, Regions: []string{"b"}}},
+		"both, disjoint":    {[]string{"a"}, []string{"b"}, RegionConstraint{Restricted: true, Regions: []string{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			is.Equal(RegionConstraintOf(&Route{AllowedRegions: c.route}, &Organisation{AllowedRegions: c.organisation}), c.want)
 		})
 	}
-	is.New(t).Equal(RegionConstraintOf(&Route{AllowedRegions: []string{"a"}}, nil), RegionConstraint{Bound: true, Regions: []string{"a"}}) // public
+	is.New(t).Equal(RegionConstraintOf(&Route{AllowedRegions: []string{"a"}}, nil), RegionConstraint{Restricted: true, Regions: []string{"a"}}) // public
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -91,16 +91,16 @@
 	probabilitiesAt time.Time
 }
 
-// RegionConstraint restricts a request to Regions if Bound is set. Otherwise it may run in any
+// RegionConstraint restricts a request to Regions if Restricted is set. Otherwise it may run in any
 // region.
 type RegionConstraint struct {
-	Bound   bool
-	Regions []string
+	Restricted bool
+	Regions    []string
 }
 
 // allow reports whether a request may run in a region.
-func (h RegionConstraint) allow(region string) bool {
-	return !h.Bound || slices.Contains(h.Regions, region)
+func (c RegionConstraint) allow(region string) bool {
+	return !c.Restricted || slices.Contains(c.Regions, region)
 }
 
 // Grant permits a request to be sent to an upstream now.
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -175,7 +175,7 @@
 // those to which its instance may not send, and the one that has already failed it, if there is an
 // alternative.
 func (c *Core) eligible(r *Request, list []*balancer.Upstream) []*balancer.Upstream {
-	if r.RegionConstraint.Bound {
+	if r.RegionConstraint.Restricted {
 		list = removeIf(list, func(u *balancer.Upstream) bool { return !r.RegionConstraint.allow(u.Region) })
 	}
 	if len(r.ExcludedUpstreams) > 0 {
--- a/internal/scheduler/region_constraint_test.go
+++ b/internal/scheduler/region_constraint_test.go
@@ -12,17 +12,17 @@
 // regions have no upstream is refused.
 func TestRegionConstraintIsEnforced(t *testing.T) {
 	for name, c := range map[string]struct {
-		homes   RegionConstraint
+		allowed RegionConstraint
 		exclude string
 		want    string
 	}{
-		"restricted to one region":                 {RegionConstraint{Bound: true, Regions: []string{"addis"}}, "", "a"},
-		"restricted to both":                       {RegionConstraint{Bound: true, Regions: []string{"addis", "colombo"}}, "a", "b"},
-		"no region allowed":                        {RegionConstraint{Bound: true}, "", ""},
+		"restricted to one region":                 {RegionConstraint{Restricted: true, Regions: []string{"addis"}}, "", "a"},
+		"restricted to both":                       {RegionConstraint{Restricted: true, Regions: []string{"addis", "colombo"}}, "a", "b"},
+		"no region allowed":                        {RegionConstraint{Restricted: true}, "", ""},
 		"unrestricted":                             {RegionConstraint{}, "a", "b"},
-		"only the upstream that failed is allowed": {RegionConstraint{Bound: true, Regions: []string{"addis"}}, "a", "a"},
-		"only a region without upstreams":          {RegionConstraint{Bound: true, Regions: []string{"prairie"}}, "", ""},
-		"the upstream that failed is not allowed":  {RegionConstraint{Bound: true, Regions: []string{"addis"}}, "b", "a"},
+		"only the upstream that failed is allowed": {RegionConstraint{Restricted: true, Regions: []string{"addis"}}, "a", "a"},
+		"only a region without upstreams":          {RegionConstraint{Restricted: true, Regions: []string{"prairie"}}, "", ""},
+		"the upstream that failed is not allowed":  {RegionConstraint{Restricted: true, Regions: []string{"addis"}}, "b", "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -30,7 +30,7 @@
 			core.SetMembers([]Member{{Address: "a", Region: "addis", Slots: 4}, {Address: "b", Region: "colombo", Slots: 4}})
 			for range 3 {
 				r := newRequest(0, 9)
-				r.RegionConstraint, r.FailedUpstream = c.homes, c.exclude
+				r.RegionConstraint, r.FailedUpstream = c.allowed, c.exclude
 				d := core.Submit(start, r)
 				if c.want == "" {
 					is.Equal(d.Sheds[0].Problem.Reason, api.ReasonNoUpstream)
