--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -168,9 +168,9 @@
 	// Version is the revision of the source up to which Zones is complete; 0 if none is known.
 	Version int64    `cbor:"1,keyasint,omitempty"`
 	Zones   []string `cbor:"2,keyasint,omitempty"`
-	// Held are those of Zones that the source had before it was restored from a copy, with the time
+	// Retained are those of Zones that the source had before it was restored from a copy, with the time
 	// for which they are still considered evacuated.
-	Held map[string]time.Duration `cbor:"3,keyasint,omitempty"`
+	Retained map[string]time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 // brief returns the heartbeat that peers of other availability zones get between two whole ones.
--- a/internal/view/evacuations.go
+++ b/internal/view/evacuations.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// holdAfterRestore is how long an evacuation stays in effect that the source had before it was
+// retainAfterRestore is how long an evacuation stays in effect that the source had before it was
 // restored from a copy and no longer has. Operators either publish it again, or have ended it in the
 // meantime.
-const holdAfterRestore = 30 * time.Second
+const retainAfterRestore = 30 * time.Second
 
-// holdAfterRewrite replaces holdAfterRestore once a configuration newer than the one before the
+// retainAfterRewrite replaces holdAfterRestore once a configuration newer than the one before the
 // restore shows that operators have published again: they publish evacuations along with it.
-const holdAfterRewrite = 5 * time.Second
+const retainAfterRewrite = 5 * time.Second
 
 // Evacuations are the availability zones whose upstreams get no new requests.
 type Evacuations struct {
@@ -23,16 +23,16 @@
 	Version int64
 	// Zones that are evacuated, in order.
 	Zones []string
-	// Held are those of Zones that the source had in an earlier epoch only, with the time for which
+	// Retained are those of Zones that the source had in an earlier epoch only, with the time for which
 	// they still count as evacuated.
-	Held map[string]time.Duration
+	Retained map[string]time.Duration
 }
 
 // published returns the zones that the source lists as evacuated.
 func (e Evacuations) published() []string {
 	zones := slices.DeleteFunc(slices.Clone(e.Zones), func(zone string) bool {
-		_, held := e.Held[zone]
-		return held
+		_, retained := e.Retained[zone]
+		return retained
 	})
 	return slices.Compact(slices.Sorted(slices.Values(zones)))
 }
@@ -49,17 +49,17 @@
 type evacuations struct {
 	version   int64
 	published []string
-	all       []string // published or held, in order
-	// held are zones evacuated in an earlier epoch, with the time until which each still counts as
+	all       []string // published or retained, in order
+	// retained are zones evacuated in an earlier epoch, with the time until which each still counts as
 	// evacuated.
-	held map[string]time.Time
-	// resolved are zones that the source has published in this epoch, or whose hold has expired.
+	retained map[string]time.Time
+	// resolved are zones that the source has published in this epoch, or whose retention has expired.
 	resolved map[string]bool
-	// previousVersion is the last version known of earlier epochs; holdUntil is when holds of such
+	// previousVersion is the last version known of earlier epochs; retainUntil is when the retention of such
 	// zones end.
 	previousVersion int64
-	holdUntil       time.Time
-	releaseTimer    *time.Timer // nil until a zone was held
+	retainUntil     time.Time
+	releaseTimer    *time.Timer // nil until a zone was retained
 }
 
 // SetEvacuations implements Sink. It sets all zones that are evacuated, as the source had them at a
@@ -103,11 +103,11 @@
 	defer v.mu.Unlock()
 	e := &v.evacuations
 	out := Evacuations{Version: e.version, Zones: e.all}
-	for zone, until := range e.held {
-		if out.Held == nil {
-			out.Held = map[string]time.Duration{}
+	for zone, until := range e.retained {
+		if out.Retained == nil {
+			out.Retained = map[string]time.Duration{}
 		}
-		out.Held[zone] = max(until.Sub(v.o.Now()), 0)
+		out.Retained[zone] = max(until.Sub(v.o.Now()), 0)
 	}
 	return out
 }
@@ -122,8 +122,8 @@
 	v.publishEvacuations(before, version, from)
 }
 
-// releaseHeld ends the holds that have expired.
-func (v *View) releaseHeld() {
+// releaseRetained ends the retention of the zones for which it has expired.
+func (v *View) releaseRetained() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := &v.evacuations
@@ -147,28 +147,28 @@
 	}
 	v.o.Metrics.Count("tacktally_evacuations_changed_total")
 	v.o.Log.Info().Str("event", "evacuation").Str("evacuated", strings.Join(e.all, ",")).
-		Str("before", strings.Join(before, ",")).Int("held", len(e.held)).Int64("version", e.version).
+		Str("before", strings.Join(before, ",")).Int("held", len(e.retained)).Int64("version", e.version).
 		Int64("version_before", version).Dur("proof_age", age).Str("from", from).Msg("")
 	if v.o.OnEvacuations != nil {
 		v.o.OnEvacuations(e.all)
 	}
 }
 
-// scheduleRelease sets the timer for the hold that expires first. The caller holds the lock.
+// scheduleRelease sets the timer for the retention that expires first. The caller holds the lock.
 func (v *View) scheduleRelease() {
 	e := &v.evacuations
-	if len(e.held) == 0 {
+	if len(e.retained) == 0 {
 		return
 	}
-	left := slices.MinFunc(slices.Collect(maps.Values(e.held)), time.Time.Compare).Sub(v.o.Now())
+	left := slices.MinFunc(slices.Collect(maps.Values(e.retained)), time.Time.Compare).Sub(v.o.Now())
 	if e.releaseTimer == nil {
-		e.releaseTimer = time.AfterFunc(left, v.releaseHeld)
+		e.releaseTimer = time.AfterFunc(left, v.releaseRetained)
 		return
 	}
 	e.releaseTimer.Reset(left)
 }
 
-// merge merges received evacuations. Zones that an earlier epoch had are held for a while, unless
+// merge merges received evacuations. Zones that an earlier epoch had are retained for a while, unless
 // they have been published in this epoch.
 func (e *evacuations) merge(now time.Time, received Evacuations) {
 	published := received.published()
@@ -178,13 +178,13 @@
 			e.enterEpoch(now)
 		}
 		e.version, e.published = received.Version, published
-	case EpochOf(received.Version) < EpochOf(e.version) && received.Version > e.previousVersion && now.Before(e.holdUntil):
+	case EpochOf(received.Version) < EpochOf(e.version) && received.Version > e.previousVersion && now.Before(e.retainUntil):
 		e.previousVersion = received.Version
-		e.hold(published, e.holdUntil)
+		e.retain(published, e.retainUntil)
 	}
 	if EpochOf(received.Version) == EpochOf(e.version) {
-		for zone, left := range received.Held {
-			e.hold([]string{zone}, now.Add(min(left, holdAfterRestore)))
+		for zone, left := range received.Retained {
+			e.retain([]string{zone}, now.Add(min(left, retainAfterRestore)))
 		}
 	}
 	for _, zone := range e.published {
@@ -192,55 +192,55 @@
 	}
 }
 
-// enterEpoch holds the zones that the previous epoch had.
+// enterEpoch retains the zones that the previous epoch had.
 func (e *evacuations) enterEpoch(now time.Time) {
 	previous := e.published
-	e.previousVersion, e.holdUntil = e.version, now.Add(holdAfterRestore)
+	e.previousVersion, e.retainUntil = e.version, now.Add(retainAfterRestore)
 	e.resolved = map[string]bool{}
-	e.hold(previous, e.holdUntil)
+	e.retain(previous, e.retainUntil)
 }
 
-// shortenHold reduces all holds to holdAfterRewrite, since operators have published in this epoch and
+// shortenRetention limits all retention to retainAfterRewrite from now, since operators have published in this epoch and
 // publish the evacuations that still apply along with it.
-func (e *evacuations) shortenHold(now time.Time) {
-	until := now.Add(holdAfterRewrite)
-	if until.Before(e.holdUntil) {
-		e.holdUntil = until
+func (e *evacuations) shortenRetention(now time.Time) {
+	until := now.Add(retainAfterRewrite)
+	if until.Before(e.retainUntil) {
+		e.retainUntil = until
 	}
-	for zone, known := range e.held {
+	for zone, known := range e.retained {
 		if until.Before(known) {
-			e.held[zone] = until
+			e.retained[zone] = until
 		}
 	}
 }
 
-// hold keeps zones evacuated until a time, except those already resolved in this epoch.
-func (e *evacuations) hold(zones []string, until time.Time) {
+// retain keeps zones evacuated until a time, except those already resolved in this epoch.
+func (e *evacuations) retain(zones []string, until time.Time) {
 	for _, zone := range zones {
 		if e.resolved[zone] {
 			continue
 		}
-		if e.held == nil {
-			e.held = map[string]time.Time{}
+		if e.retained == nil {
+			e.retained = map[string]time.Time{}
 		}
-		if known, held := e.held[zone]; !held || until.Before(known) {
-			e.held[zone] = until
+		if known, retained := e.retained[zone]; !retained || until.Before(known) {
+			e.retained[zone] = until
 		}
 	}
 }
 
-// resolve ends the hold of a zone: from now on only what the source publishes counts.
+// resolve ends the retention of a zone: from now on only what the source publishes counts.
 func (e *evacuations) resolve(zone string) {
-	delete(e.held, zone)
+	delete(e.retained, zone)
 	if e.resolved == nil {
 		e.resolved = map[string]bool{}
 	}
 	e.resolved[zone] = true
 }
 
-// release resolves the zones whose hold has expired.
+// release resolves the zones whose retention has expired.
 func (e *evacuations) release(now time.Time) {
-	for zone, until := range e.held {
+	for zone, until := range e.retained {
 		if !now.Before(until) {
 			e.resolve(zone)
 		}
@@ -249,5 +249,5 @@
 
 // effective returns all zones that count as evacuated, in order.
 func (e *evacuations) effective() []string {
-	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(e.published, slices.Collect(maps.Keys(e.held))))))
+	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(e.published, slices.Collect(maps.Keys(e.retained))))))
 }
--- a/internal/view/restored_test.go
+++ b/internal/view/restored_test.go
@@ -130,7 +130,7 @@
 	for name, c := range map[string]struct {
 		act   func(v *View)
 		zones []string
-		later []string // once all holds have expired
+		later []string // once all retention has expired
 	}{
 		"nothing":                          {func(*View) {}, both, []string{"piassa"}},
 		"it is published again":            {func(v *View) { v.SetEvacuations(both, in(2, 22)) }, both, both},
@@ -146,7 +146,7 @@
 		}, both, []string{"piassa"}},
 		"a peer holds it once it is lifted": {func(v *View) {
 			v.ApplyZoneChanges([]ZoneChange{{"bole", false, in(2, 22)}}, in(2, 22))
-			v.MergeEvacuations(Evacuations{Version: in(2, 21), Zones: both, Held: map[string]time.Duration{"bole": time.Hour}}, "p")
+			v.MergeEvacuations(Evacuations{Version: in(2, 21), Zones: both, Retained: map[string]time.Duration{"bole": time.Hour}}, "p")
 		}, []string{"piassa"}, []string{"piassa"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 				is.Equal(v.CurrentEvacuations().Zones, both)
 				c.act(v)
 				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.zones))
-				<-time.After(holdAfterRestore + time.Second)
+				<-time.After(retainAfterRestore + time.Second)
 				synctest.Wait()
 				is.True(slices.Equal(v.CurrentEvacuations().Zones, c.later))
 			})
@@ -168,8 +168,8 @@
 }
 
 // An instance that starts after the restore receives the evacuations that the copy lacks from peers,
-// with the time for which they are still held.
-func TestInstanceStartedAfterRestoreReceivesHeldEvacuations(t *testing.T) {
+// with the time for which they are still retained.
+func TestInstanceStartedAfterRestoreReceivesRetainedEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		knows, started := newView(nil), newView(nil)
@@ -177,10 +177,10 @@
 		knows.SetEvacuations([]string{"bole"}, in(1, 40))
 		knows.SetEvacuations(nil, in(2, 21))
 		started.SetEvacuations(nil, in(2, 21))
-		<-time.After(holdAfterRestore / 2)
+		<-time.After(retainAfterRestore / 2)
 		started.MergeEvacuations(knows.CurrentEvacuations(), "p")
 		is.Equal(started.CurrentEvacuations().Zones, []string{"bole"})
-		<-time.After(holdAfterRestore/2 + time.Second)
+		<-time.After(retainAfterRestore/2 + time.Second)
 		synctest.Wait()
 		is.Equal(len(started.CurrentEvacuations().Zones), 0)
 		is.Equal(len(knows.CurrentEvacuations().Zones), 0)
@@ -245,7 +245,7 @@
 
 // Operators publish again what the store has lost. Once a newer configuration shows that they have, an
 // evacuation that they don't publish again soon has ended in the meantime.
-func TestHeldEvacuationIsReleasedSoonerAfterNewConfiguration(t *testing.T) {
+func TestRetainedEvacuationIsReleasedSoonerAfterNewConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := newVersionedView()
@@ -254,11 +254,11 @@
 		v.SetConfiguration(in(1, 41), []byte("48 in force"), time.Now())
 		v.SetEvacuations(nil, in(2, 21))
 		v.SetConfiguration(in(2, 20), []byte("46 of the copy"), time.Now())
-		<-time.After(2 * holdAfterRewrite)
+		<-time.After(2 * retainAfterRewrite)
 		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"})
 		v.SetConfiguration(in(2, 22), []byte("50 written again"), time.Now())
 		is.Equal(v.CurrentEvacuations().Zones, []string{"bole"}) // it may be published next
-		<-time.After(holdAfterRewrite + time.Millisecond)
+		<-time.After(retainAfterRewrite + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(v.CurrentEvacuations().Zones), 0)
 	})
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -314,7 +314,7 @@
 		v.asOf = time.Time{} // reads of the restored copy confirmed only its own content
 	}
 	if EpochOf(c.Revision) == EpochOf(v.evacuations.version) {
-		v.evacuations.shortenHold(v.o.Now())
+		v.evacuations.shortenRetention(v.o.Now())
 		v.scheduleRelease()
 	}
 	v.configuration = c
