--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -81,7 +81,7 @@
 	}
 	p.dispatcher.SetOthers(from, h.Pending)
 	p.organisations.Heard(from, h.Demand)
-	p.quarantine.MergeUpdate(time.Now(), h.Quarantine) // all are linked to all: nobody has it from here alone
+	p.quarantine.Merge(time.Now(), h.Quarantine) // all are linked to all: nobody has it from here alone
 	if h.Revision > p.holder.Revision() || h.ListVersion > p.instances.version() {
 		p.mesh.ScheduleFetch(from)
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -329,7 +329,7 @@
 func (d *Dispatcher) SetOthers(instance string, pending map[string]int) {
 	for _, p := range d.allPools() {
 		p.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
-			core.SetInstanceLoad(instance, scheduler.Load{Pending: pending})
+			core.SetPeerLoad(instance, scheduler.Load{Pending: pending})
 			return core.Poll(now)
 		})
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -124,7 +124,7 @@
 		i.fleet.SetPeerLoad(from, scheduler.Load{Running: h.Running})
 	}
 	i.view.MergeEvacuations(view.Evacuations(h.Evacuations), from)
-	crashes := i.quarantine.MergeUpdate(time.Now(), h.Quarantine)
+	crashes := i.quarantine.Merge(time.Now(), h.Quarantine)
 	limits := i.fleet.MergeLimits(from, h.Limits)
 	if i.fleet.MergeLeavingNotices(from, h.Leaving) || crashes || limits {
 		i.relayUpdates()
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -232,7 +232,7 @@
 			if other.dead || w.cut {
 				return
 			}
-			other.core.SetInstanceLoad(i.name, scheduler.Load{Pending: pending})
+			other.core.SetPeerLoad(i.name, scheduler.Load{Pending: pending})
 			other.apply(other.core.Poll(w.clock()))
 		})
 	}
@@ -393,7 +393,7 @@
 func (w *world) forget(gone *simInstance) {
 	for _, i := range w.instances {
 		if i != gone {
-			i.core.SetInstanceLoad(gone.name, scheduler.Load{})
+			i.core.SetPeerLoad(gone.name, scheduler.Load{})
 		}
 	}
 }
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -70,7 +70,7 @@
 	if u := f.upstreams[id]; u != nil {
 		zone = u.Zone
 	}
-	for other, u := range f.upstreams { // in random order
+	for other, u := range f.upstreams { // in no particular order
 		if len(out) == n {
 			break
 		}
--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -77,9 +77,9 @@
 	Limited() bool
 	// Predicted returns the predicted time to the first token.
 	Predicted() time.Duration
-	// FirstToken and RecordActivity record that the first token, or any other part of the response, has
+	// RecordFirstToken and RecordActivity record that the first token, or any other part of the response, has
 	// arrived.
-	FirstToken()
+	RecordFirstToken()
 	RecordActivity()
 	// End releases the slot and reports how the request ended, with its number of output tokens.
 	End(e scheduler.Result, output int)
@@ -97,7 +97,7 @@
 func (g *localGrant) ListVersion() int64                 { return g.listVersion }
 func (g *localGrant) Limited() bool                      { return g.grant.Limited }
 func (g *localGrant) Predicted() time.Duration           { return g.grant.PredictedFirstToken() }
-func (g *localGrant) FirstToken()                        { g.shard.pool.RecordFirstToken(g.grant) }
+func (g *localGrant) RecordFirstToken()                  { g.shard.pool.RecordFirstToken(g.grant) }
 func (g *localGrant) RecordActivity()                    { g.grant.Upstream.MarkSeen(time.Now()) }
 func (g *localGrant) End(e scheduler.Result, output int) { g.shard.pool.End(g.grant, e, output) }
 
@@ -122,7 +122,7 @@
 func (g *peerGrant) ListVersion() int64       { return g.slotGrant.ListVersion }
 func (g *peerGrant) Limited() bool            { return g.slotGrant.Limited }
 func (g *peerGrant) Predicted() time.Duration { return g.slotGrant.PredictedFirstToken }
-func (g *peerGrant) FirstToken()              { g.slot.Started() }
+func (g *peerGrant) RecordFirstToken()        { g.slot.Started() }
 func (g *peerGrant) RecordActivity()          {} // the owner gets first tokens and results only
 func (g *peerGrant) End(e scheduler.Result, output int) {
 	g.tracked.remove(g)
--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -14,7 +14,7 @@
 // sent it, whatever is published for that process afterwards, since the published entry may be older.
 
 // processStateTTL is how long notices, backoffs and limits are kept for a process that is no longer on
-// the list: its entry may come back after an outage of the source.
+// the list: its entry may come back during or after an outage of the source.
 const processStateTTL = time.Minute
 
 const (
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -38,7 +38,7 @@
 
 func (s *shard) setPeerLoad(instance string, l scheduler.Load) {
 	s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
-		core.SetInstanceLoad(instance, l)
+		core.SetPeerLoad(instance, l)
 		return core.Poll(now)
 	})
 }
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -130,7 +130,7 @@
 
 const (
 	// startupRateFactor is what an instance grants until it has settled, relative to its share of the
-	// rate: callers whose connections were lost all come back at once. The instance doesn't know earlier
+	// rate: callers whose connections were lost all retry at once. The instance doesn't know earlier
 	// usage. The allowance leaves about one second of the rate, plus what was unused while the fleet was
 	// down, for each of two starts within a window; grants during startup and from buckets that are taken
 	// over use about that much.
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -175,7 +175,7 @@
 		members[i] = append(members[i], m)
 	}
 	for _, sh := range dropped {
-		sh.pool.SetMembers(nil) // waiting requests there end with their maximum wait
+		sh.pool.SetMembers(nil) // waiting requests there are shed when they expire
 	}
 	for i, sh := range shards {
 		sh.pool.SetMembers(members[i])
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -86,7 +86,7 @@
 	defer response.Close()
 	l.RecordActivity()
 	r := &relay{job: j, ctx: ctx, response: response, silence: silence, onData: l.RecordActivity, onFirst: func() {
-		l.FirstToken()
+		l.RecordFirstToken()
 		j.firstAfter = time.Since(j.arrived)
 		j.handler.o.Metrics.FirstToken(j.route.Kind.String(), j.firstAfter)
 	}}
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -85,7 +85,7 @@
 		crashOf(other, at, upstream, "y", "x")
 	}
 	is.Equal(one.Remaining(start.Add(settleTime-1), key("x")), time.Duration(0))
-	one.MergeUpdate(start.Add(settleTime/2), other.NextUpdate(start.Add(settleTime/2)))
+	one.Merge(start.Add(settleTime/2), other.NextUpdate(start.Add(settleTime/2)))
 	is.Equal(one.Remaining(start.Add(2*settleTime), key("x")), time.Duration(0)) // x or y
 }
 
@@ -190,7 +190,7 @@
 	is.Equal(owner.Admit(over.Add(time.Second), key("x")), probeTimeout)
 	crashOf(owner, over.Add(2*time.Second), "3", "x")
 	is.Equal(owner.Remaining(over.Add(2*time.Second), key("x")), periodFactor*initialPeriod)
-	other.MergeUpdate(over.Add(2*time.Second), owner.NextUpdate(over.Add(2*time.Second)))
+	other.Merge(over.Add(2*time.Second), owner.NextUpdate(over.Add(2*time.Second)))
 	is.Equal(other.Remaining(over.Add(2*time.Second), key("x")), periodFactor*initialPeriod)
 	crashOf(owner, over.Add(3*time.Second), "4", "x") // was still running since before
 	is.Equal(owner.Remaining(over.Add(3*time.Second), key("x")), periodFactor*initialPeriod-time.Second)
@@ -219,7 +219,7 @@
 			from, to := random.IntN(3), random.IntN(3)
 			update := registries[from].NextUpdate(now)
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond) // message delay
-			registries[to].MergeUpdate(now, update)
+			registries[to].Merge(now, update)
 		}
 		for i, b := range registries {
 			left := b.Remaining(now, key("x"))
@@ -243,13 +243,13 @@
 	is.True(one.Remaining(start.Add(time.Second), key("x")) > 0)
 	old := one.NextUpdate(start.Add(time.Second))
 	one.RecordResponse(start.Add(2*time.Second), key("x"))
-	other.MergeUpdate(start.Add(2*time.Second), old)
+	other.Merge(start.Add(2*time.Second), old)
 	is.True(other.Remaining(start.Add(2*time.Second), key("x")) > 0)
-	is.True(other.MergeUpdate(start.Add(3*time.Second), one.NextUpdate(start.Add(3*time.Second))))
+	is.True(other.Merge(start.Add(3*time.Second), one.NextUpdate(start.Add(3*time.Second))))
 	is.Equal(other.Remaining(start.Add(3*time.Second), key("x")), time.Duration(0))
 	for range 20 { // repeated delivery of an old update
-		one.MergeUpdate(start.Add(3*time.Second), old)
-		other.MergeUpdate(start.Add(3*time.Second), old)
+		one.Merge(start.Add(3*time.Second), old)
+		other.Merge(start.Add(3*time.Second), old)
 	}
 	is.Equal(one.Remaining(start.Add(4*time.Second), key("x")), time.Duration(0))
 	is.Equal(other.Remaining(start.Add(4*time.Second), key("x")), time.Duration(0))
@@ -321,7 +321,7 @@
 			from, to := registries[random.IntN(len(registries))], registries[random.IntN(len(registries))]
 			update := from.NextUpdate(now)
 			now = now.Add(time.Duration(random.IntN(20)) * time.Millisecond) // message delay
-			if to.MergeUpdate(now, update) {
+			if to.Merge(now, update) {
 				changes++
 			}
 		}
@@ -366,7 +366,7 @@
 			return
 		}
 		b := newRegistry(true)
-		b.MergeUpdate(start, &n)
+		b.Merge(start, &n)
 		if update := b.NextUpdate(start); update != nil && !update.IsValid() {
 			t.Errorf("NextUpdate returned an invalid update: %+v", update)
 		}
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -149,8 +149,8 @@
 	return out
 }
 
-// MergeUpdate merges an update from a peer, and reports whether anything changed.
-func (r *Registry) MergeUpdate(now time.Time, u *Update) (changed bool) {
+// Merge merges an update from a peer, and reports whether anything changed.
+func (r *Registry) Merge(now time.Time, u *Update) (changed bool) {
 	if u == nil {
 		return false
 	}
--- a/internal/scheduler/advertised_limit.go
+++ b/internal/scheduler/advertised_limit.go
@@ -14,8 +14,8 @@
 	// isolatedRateShare is the share that all isolated instances together grant. Each decides at
 	// random when it may grant.
 	isolatedRateShare = 0.5
-	// minRate is the lowest rate, in requests per second, at which an upstream is used. With none,
-	// the end of its limit would not be noticed.
+	// minRate is the rate, in requests per second, that an upstream gets even if it advertises a
+	// lower limit. Without it, the end of a limit of 0 would not be noticed.
 	minRate = 0.1
 )
 
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -140,16 +140,16 @@
 
 // Core schedules the requests of one set of upstreams.
 type Core struct {
-	options       Options
-	queue         *queue.Queue
-	upstreams     []*balancer.Upstream
-	byID          map[string]*balancer.Upstream // the entries of upstreams by ID
-	instanceLoads map[string]Load               // load of each other instance
-	floor         floor
-	drain         drainRate
-	outputs       outputRatio
-	lengthError   lengthError
-	grantShares   grantShares
+	options     Options
+	queue       *queue.Queue
+	upstreams   []*balancer.Upstream
+	byID        map[string]*balancer.Upstream // the entries of upstreams by ID
+	peerLoads   map[string]Load               // load of each other instance
+	floor       floor
+	drain       drainRate
+	outputs     outputRatio
+	lengthError lengthError
+	grantShares grantShares
 	// backfillAllowance is the slot time that backfill may use now.
 	backfillAllowance time.Duration
 	coldStart         ColdStart
@@ -162,7 +162,7 @@
 // New returns a Core without upstreams.
 func New(o Options) *Core {
 	o.MinRetryAfter = cmp.Or(o.MinRetryAfter, minRetryAfter)
-	return &Core{options: o, byID: map[string]*balancer.Upstream{}, queue: queue.New(o.Limits), instanceLoads: map[string]Load{}, outputs: newOutputRatio(), lengthError: newLengthError(), grantShares: grantShares{}}
+	return &Core{options: o, byID: map[string]*balancer.Upstream{}, queue: queue.New(o.Limits), peerLoads: map[string]Load{}, outputs: newOutputRatio(), lengthError: newLengthError(), grantShares: grantShares{}}
 }
 
 // Upstreams returns the upstreams. The caller must not modify the slice.
--- a/internal/scheduler/instance_load.go
+++ b/internal/scheduler/instance_load.go
@@ -65,16 +65,15 @@
 	return l
 }
 
-// SetInstanceLoad replaces the reported load of another instance. The zero Load removes the
-// instance.
-func (c *Core) SetInstanceLoad(instance string, l Load) {
-	c.addLoad(c.instanceLoads[instance], -1)
+// SetPeerLoad sets the load that another instance has reported; the zero Load removes the instance.
+func (c *Core) SetPeerLoad(instance string, l Load) {
+	c.addLoad(c.peerLoads[instance], -1)
 	c.addLoad(l, 1)
 	if len(l.Pending) == 0 && len(l.Running) == 0 {
-		delete(c.instanceLoads, instance)
+		delete(c.peerLoads, instance)
 		return
 	}
-	c.instanceLoads[instance] = l
+	c.peerLoads[instance] = l
 }
 
 // addLoad adds the load of another instance, times the given factor, to the upstreams' totals.
@@ -97,7 +96,7 @@
 		u.PendingElsewhere = 0
 		u.RunningElsewhere = 0
 	}
-	for _, l := range c.instanceLoads {
+	for _, l := range c.peerLoads {
 		c.addLoad(l, 1)
 	}
 }
--- a/internal/scheduler/members.go
+++ b/internal/scheduler/members.go
@@ -97,7 +97,7 @@
 	u := newUpstream(m, c.options.PrefixIndexBlocks)
 	c.update(u, m)
 	c.byID[u.ID] = u
-	for _, l := range c.instanceLoads {
+	for _, l := range c.peerLoads {
 		u.PendingElsewhere += l.Pending[u.ID]
 		u.RunningElsewhere += l.Running[u.ID]
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -71,9 +71,9 @@
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
-	c.SetInstanceLoad("p", Load{Running: map[string]int{"u": 7, "other": 9}})
+	c.SetPeerLoad("p", Load{Running: map[string]int{"u": 7, "other": 9}})
 	is.Equal(len(fillUpstreams(c)), 3)
-	c.SetInstanceLoad("p", Load{})
+	c.SetPeerLoad("p", Load{})
 	is.Equal(len(c.Poll(start).Grants), 1) // the one that was queued
 }
 
--- a/internal/view/evacuations.go
+++ b/internal/view/evacuations.go
@@ -12,7 +12,7 @@
 // meantime.
 const retainAfterRestore = 30 * time.Second
 
-// retainAfterRewrite replaces holdAfterRestore once a configuration newer than the one before the
+// retainAfterRewrite replaces retainAfterRestore once a configuration newer than the one before the
 // restore shows that operators have published again: they publish evacuations along with it.
 const retainAfterRewrite = 5 * time.Second
 
@@ -55,8 +55,8 @@
 	retained map[string]time.Time
 	// resolved are zones that the source has published in this epoch, or whose retention has expired.
 	resolved map[string]bool
-	// previousVersion is the last version known of earlier epochs; retainUntil is when the retention of such
-	// zones end.
+	// previousVersion is the last version known of earlier epochs; retainUntil is when the retention of
+	// such zones ends.
 	previousVersion int64
 	retainUntil     time.Time
 	releaseTimer    *time.Timer // nil until a zone was retained
@@ -200,8 +200,8 @@
 	e.retain(previous, e.retainUntil)
 }
 
-// shortenRetention limits all retention to retainAfterRewrite from now, since operators have published in this epoch and
-// publish the evacuations that still apply along with it.
+// shortenRetention limits all retention to retainAfterRewrite from now on, since operators have
+// published in this epoch and publish the evacuations that still apply along with it.
 func (e *evacuations) shortenRetention(now time.Time) {
 	until := now.Add(retainAfterRewrite)
 	if until.Before(e.retainUntil) {
