--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -123,7 +123,7 @@
 
 // abort closes the connection with a reset, so that the kernel discards unsent and unacknowledged
 // bytes. Otherwise a request that is delayed on the network path would reach its upstream after it
-// was given up, when the upstream may be leaving.
+// was given up, when the upstream may have left.
 func (c *conn) abort() {
 	if t, ok := c.net.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // a closed connection needs no reset
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -321,7 +321,7 @@
 }
 
 // The network path delays a request until after it was given up. It must not reach its upstream
-// then, which may be leaving.
+// then, which may have left.
 func TestAbandonedRequestDoesNotArriveLater(t *testing.T) {
 	is := is.New(t)
 	arrived := make(chan struct{}, 9)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -41,7 +41,7 @@
 	ended bool
 }
 
-// Options are the settings of a Pool.
+// Options configure a Pool.
 type Options struct {
 	// Address of the upstream, IP:port.
 	Address string
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// memoryBlocks is the maximum number of prefix blocks remembered for one engine.
-	memoryBlocks = 2048
+	// prefixIndexBlocks is the maximum number of prefix blocks tracked for one engine.
+	prefixIndexBlocks = 2048
 	// minRetryAfter is the minimum retry delay that callers get. They retry within their deadline, which
 	// may be as short as a second.
 	minRetryAfter = 100 * time.Millisecond
@@ -58,7 +58,7 @@
 	Log        *log.Logger
 }
 
-// Fleet holds the upstreams of all services, as this instance uses them. Safe for concurrent use.
+// Fleet holds the upstreams of all services, as this instance uses them. It is safe for concurrent use.
 //
 // The upstreams of a service are divided into shards. Each is scheduled by one instance, its owner, and
 // the others request slots from it: if many instances decided by the loads that the others report, each
@@ -155,7 +155,7 @@
 	core := scheduler.New(scheduler.Options{
 		Picker:            picker,
 		Limits:            f.o.Limits,
-		PrefixIndexBlocks: memoryBlocks,
+		PrefixIndexBlocks: prefixIndexBlocks,
 		MinRetryAfter:     minRetryAfter,
 	})
 	core.SetColdStart(f.services[service].coldStart, scheduler.Reachability{})
--- a/internal/fleet/grant_limits.go
+++ b/internal/fleet/grant_limits.go
@@ -54,12 +54,12 @@
 		f.mu.Lock()
 		coldStart := f.serviceOf(s.service).coldStart
 		f.mu.Unlock()
-		reach := base
+		reachability := base
 		if coldStart.IsLimited() || limited {
-			reach.Queried = f.isQueried(s, base.Queried)
+			reachability.Queried = f.isQueried(s, base.Queried)
 		}
 		s.pool.Apply(func(now time.Time, core *scheduler.Core) scheduler.Decisions {
-			core.SetColdStart(coldStart, reach)
+			core.SetColdStart(coldStart, reachability)
 			return core.Poll(now)
 		})
 	}
@@ -96,14 +96,14 @@
 	return 1 / float64(max(size, known))
 }
 
-// isQueried reports whether other instances request slots of a shard from this one, if they request any
-// from it: it is one of the first that may own the shard.
-func (f *Fleet) isQueried(s *shard, atAll bool) bool {
+// isQueried reports whether other instances request slots of a shard from this one: they request slots
+// from it at all, as queried says, and it is one of the first that may own the shard.
+func (f *Fleet) isQueried(s *shard, queried bool) bool {
 	f.mu.Lock()
 	instances := f.instances
 	f.mu.Unlock()
-	if !atAll || len(instances) == 1 {
-		return atAll
+	if !queried || len(instances) == 1 {
+		return queried
 	}
 	return f.owners.isCandidate(shardKey{service: s.service, index: s.index}, instances, f.o.Instance)
 }
--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -75,8 +75,8 @@
 	ListVersion() int64
 	// Limited reports whether the granting instance knew that the upstream advertises a limit.
 	Limited() bool
-	// Predicted returns the predicted time to the first token.
-	Predicted() time.Duration
+	// PredictedFirstToken returns the predicted time to the first token.
+	PredictedFirstToken() time.Duration
 	// RecordFirstToken and RecordActivity record that the first token, or any other part of the response, has
 	// arrived.
 	RecordFirstToken()
@@ -96,7 +96,7 @@
 func (g *localGrant) Owner() string                      { return "" }
 func (g *localGrant) ListVersion() int64                 { return g.listVersion }
 func (g *localGrant) Limited() bool                      { return g.grant.Limited }
-func (g *localGrant) Predicted() time.Duration           { return g.grant.PredictedFirstToken() }
+func (g *localGrant) PredictedFirstToken() time.Duration { return g.grant.PredictedFirstToken() }
 func (g *localGrant) RecordFirstToken()                  { g.shard.pool.RecordFirstToken(g.grant) }
 func (g *localGrant) RecordActivity()                    { g.grant.Upstream.MarkSeen(time.Now()) }
 func (g *localGrant) End(e scheduler.Result, output int) { g.shard.pool.End(g.grant, e, output) }
@@ -117,19 +117,19 @@
 	tracked   *peerGrants
 }
 
-func (g *peerGrant) Upstream() string         { return g.slotGrant.Upstream }
-func (g *peerGrant) Owner() string            { return g.owner }
-func (g *peerGrant) ListVersion() int64       { return g.slotGrant.ListVersion }
-func (g *peerGrant) Limited() bool            { return g.slotGrant.Limited }
-func (g *peerGrant) Predicted() time.Duration { return g.slotGrant.PredictedFirstToken }
-func (g *peerGrant) RecordFirstToken()        { g.slot.Started() }
-func (g *peerGrant) RecordActivity()          {} // the owner gets first tokens and results only
+func (g *peerGrant) Upstream() string                   { return g.slotGrant.Upstream }
+func (g *peerGrant) Owner() string                      { return g.owner }
+func (g *peerGrant) ListVersion() int64                 { return g.slotGrant.ListVersion }
+func (g *peerGrant) Limited() bool                      { return g.slotGrant.Limited }
+func (g *peerGrant) PredictedFirstToken() time.Duration { return g.slotGrant.PredictedFirstToken }
+func (g *peerGrant) RecordFirstToken()                  { g.slot.Started() }
+func (g *peerGrant) RecordActivity()                    {} // the owner gets first tokens and results only
 func (g *peerGrant) End(e scheduler.Result, output int) {
 	g.tracked.remove(g)
 	g.slot.Release(peer.SlotRelease{Result: uint8(e), Output: output})
 }
 
-// peerGrants holds the unfinished grants of other instances. Safe for concurrent use.
+// peerGrants holds the unfinished grants of other instances. It is safe for concurrent use.
 type peerGrants struct {
 	mu     sync.Mutex
 	grants map[*peerGrant]struct{}
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -33,8 +33,8 @@
 
 // owners determines which instance schedules a shard. Each instance computes it on its own from the
 // reachable instances (weighted rendezvous hashing), without any agreement: while views differ, a shard
-// has two owners, and its upstreams get more requests than they have slots for, which they queue. Safe
-// for concurrent use.
+// has two owners, and its upstreams get more requests than they have slots for, which they queue. It
+// is safe for concurrent use.
 type owners struct {
 	mu           sync.Mutex
 	ranked       map[shardKey][]string // addresses, the owner first
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -16,15 +16,15 @@
 type QuotaClient interface {
 	TakeQuota(ctx context.Context, address string, r *peer.QuotaRequest, within time.Duration) (*peer.QuotaReply, error)
 	ReturnQuota(address string, r *peer.QuotaReturn)
-	// FleetSize returns the number of known instances, or 0 if this instance has peers but knows none of
-	// them yet.
+	// FleetSize returns the number of instances in the fleet as far as known, or 0 if this instance has
+	// peers but has received nothing from any of them yet.
 	FleetSize() int
 }
 
 // Quotas limits what each organisation uses over all instances. One instance, computed in the same way as
 // the owner of a shard, keeps the organisation's bucket, and the others request tokens from it. On the
-// sides of a network partition each side has an owner, which grants the share of its side. Safe for
-// concurrent use.
+// sides of a network partition each side has an owner, which grants the share of its side. It is
+// safe for concurrent use.
 type Quotas struct {
 	limiter        *quota.Limiter
 	startupLimiter *quota.Limiter // used until this instance has settled
--- a/internal/fleet/slots.go
+++ b/internal/fleet/slots.go
@@ -17,8 +17,8 @@
 // SlotClient requests slots from other instances. *peer.Mesh implements it.
 type SlotClient interface {
 	AcquireSlot(ctx context.Context, address string, r *peer.SlotRequest, ackTimeout time.Duration) (*peer.Slot, *peer.SlotRefusal, error)
-	// FleetSize returns the number of known instances, or 0 if this instance has peers but knows none of
-	// them yet.
+	// FleetSize returns the number of instances in the fleet as far as known, or 0 if this instance has
+	// peers but has received nothing from any of them yet.
 	FleetSize() int
 }
 
@@ -155,27 +155,27 @@
 func (f *Fleet) slotRequest(now time.Time, s *shard, req *AcquireRequest) *peer.SlotRequest {
 	r := req.Request
 	out := &peer.SlotRequest{
-		Service:          s.service,
-		Shard:            s.index,
-		ID:               req.ID,
-		Digest:           req.Key.Digest,
-		Rank:             r.Rank,
-		Organisation:     r.Organisation,
-		Age:              now.Sub(r.Arrived),
-		Timeout:          r.Deadline.Sub(now),
-		MaxWait:          r.MaxWait,
-		LatencyObjective: r.LatencyObjective,
-		PromptTokens:     r.PromptTokens,
-		MaxOutput:        r.MaxOutput,
-		ExpectedOutput:   r.ExpectedOutput,
-		Bytes:            r.Bytes,
-		Exclude:          r.FailedUpstream,
-		Unavailable:      r.ExcludedUpstreams,
-		Attempt:          req.Attempt,
-		Limits:           f.limitsForOwner(s.service),
-		Zone:             f.o.Zone,
-		Restricted:       r.RegionConstraint.Restricted,
-		Regions:          r.RegionConstraint.Regions,
+		Service:           s.service,
+		Shard:             s.index,
+		ID:                req.ID,
+		Digest:            req.Key.Digest,
+		Rank:              r.Rank,
+		Organisation:      r.Organisation,
+		Age:               now.Sub(r.Arrived),
+		Timeout:           r.Deadline.Sub(now),
+		MaxWait:           r.MaxWait,
+		LatencyObjective:  r.LatencyObjective,
+		PromptTokens:      r.PromptTokens,
+		MaxOutput:         r.MaxOutput,
+		ExpectedOutput:    r.ExpectedOutput,
+		Bytes:             r.Bytes,
+		FailedUpstream:    r.FailedUpstream,
+		ExcludedUpstreams: r.ExcludedUpstreams,
+		Attempt:           req.Attempt,
+		Limits:            f.limitsForOwner(s.service),
+		Zone:              f.o.Zone,
+		Restricted:        r.RegionConstraint.Restricted,
+		Regions:           r.RegionConstraint.Regions,
 	}
 	for _, p := range req.Segments {
 		out.Segments = append(out.Segments, peer.PromptSegment{PrefixHash: p.Hash, Tokens: p.Tokens})
@@ -203,8 +203,8 @@
 		ExpectedOutput:    r.ExpectedOutput,
 		PrefixHashes:      prefix.SegmentHashes(segments),
 		Bytes:             r.Bytes,
-		FailedUpstream:    r.Exclude,
-		ExcludedUpstreams: r.Unavailable,
+		FailedUpstream:    r.FailedUpstream,
+		ExcludedUpstreams: r.ExcludedUpstreams,
 		Zone:              r.Zone,
 		RegionConstraint:  scheduler.RegionConstraint{Restricted: r.Restricted, Regions: r.Regions},
 	}
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -41,8 +41,8 @@
 	Segments       []PromptSegment `cbor:"13,keyasint,omitempty"`
 	// Bytes is the size of the request's body, which is kept while it waits.
 	Bytes int `cbor:"14,keyasint,omitempty"`
-	// Exclude is an upstream that already failed the request.
-	Exclude string `cbor:"15,keyasint,omitempty"`
+	// FailedUpstream is an upstream that already failed the request.
+	FailedUpstream string `cbor:"15,keyasint,omitempty"`
 	// Zone is the availability zone in which the request arrived.
 	Zone string `cbor:"16,keyasint,omitempty"`
 	// Restricted requests run only in these Regions.
@@ -50,8 +50,8 @@
 	Regions    []string `cbor:"18,keyasint,omitempty"`
 	// Digest of the request's content, the same for each attempt.
 	Digest uint64 `cbor:"19,keyasint,omitempty"`
-	// Unavailable are the IDs of upstreams to which the requester may not send at present.
-	Unavailable []string `cbor:"20,keyasint,omitempty"`
+	// ExcludedUpstreams are the IDs of upstreams to which the requester may not send at present.
+	ExcludedUpstreams []string `cbor:"20,keyasint,omitempty"`
 	// Attempt is what the request is to the retry budget.
 	Attempt AttemptKind `cbor:"21,keyasint,omitempty"`
 	// Limits are the advertised limits that the requester knows of the service's upstreams: a new
@@ -108,7 +108,7 @@
 
 // SlotRelease returns a slot and reports how the request ended at the upstream.
 type SlotRelease struct {
-	// Result is a scheduler.Ending.
+	// Result is a scheduler.Result.
 	Result uint8 `cbor:"1,keyasint"`
 	// Output is the number of output tokens of a complete response.
 	Output int `cbor:"2,keyasint,omitempty"`
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -22,7 +22,7 @@
 // timerSlack delays the timer past an expiry, so that the item has expired when the timer fires.
 const timerSlack = 100 * time.Microsecond
 
-// Options configures a Pool.
+// Options configure a Pool.
 type Options struct {
 	// Core must not be used by anything else after New.
 	Core *scheduler.Core
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -79,17 +79,17 @@
 func (j *job) run() *api.Problem {
 	ctx, cancel := j.context()
 	defer cancel()
-	exclude := ""
-	ask := peer.FirstAttempt
+	failedUpstream := ""
+	kind := peer.FirstAttempt
 	var last attemptResult
 	connectFailures, unusableGrants := 0, 0
 	for {
 		if problem := j.checkQuarantine(); problem != nil {
 			return j.orUpstreamFailure(j.markPossiblyRun(problem))
 		}
-		l, problem := j.handler.o.Fleet.Acquire(ctx, j.acquireRequest(exclude, ask))
-		if problem == nil || ask == peer.FirstAttempt {
-			ask = peer.RequeuedAttempt
+		l, problem := j.handler.o.Fleet.Acquire(ctx, j.acquireRequest(failedUpstream, kind))
+		if problem == nil || kind == peer.FirstAttempt {
+			kind = peer.RequeuedAttempt
 		}
 		if problem != nil && j.waitForBackoff(ctx, problem) {
 			continue
@@ -117,37 +117,37 @@
 			return j.finalProblem(r)
 		}
 		if next == retry {
-			ask = peer.RetryAttempt
+			kind = peer.RetryAttempt
 		}
 		last = r
-		exclude = l.Upstream()
+		failedUpstream = l.Upstream()
 		j.handler.o.Metrics.Retried(reason)
 		j.handler.o.Log.Info().Str("event", "retry").Str("request", j.info.ID).Str("reason", string(reason)).
-			Str("upstream", exclude).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("retrying the request")
+			Str("upstream", failedUpstream).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("retrying the request")
 	}
 }
 
-// acquireRequest returns the request for a slot. Exclude is an upstream at which the request
-// failed.
-func (j *job) acquireRequest(exclude string, ask peer.AttemptKind) *fleet.AcquireRequest {
-	return &fleet.AcquireRequest{ID: j.info.ID, Key: j.quarantineKey, Service: j.service, Request: j.schedulerRequest(exclude), Segments: j.info.PromptSegments, Attempt: ask}
+// acquireRequest returns the request for a slot. failedUpstream is the upstream at which the last
+// attempt failed, empty if there was none.
+func (j *job) acquireRequest(failedUpstream string, kind peer.AttemptKind) *fleet.AcquireRequest {
+	return &fleet.AcquireRequest{ID: j.info.ID, Key: j.quarantineKey, Service: j.service, Request: j.schedulerRequest(failedUpstream), Segments: j.info.PromptSegments, Attempt: kind}
 }
 
-func (j *job) schedulerRequest(exclude string) *scheduler.Request {
+func (j *job) schedulerRequest(failedUpstream string) *scheduler.Request {
 	return &scheduler.Request{
 		Rank:             j.rank(),
 		Organisation:     j.organisationName(),
 		Share:            1,
 		Arrived:          j.arrived,
 		Deadline:         j.deadline,
-		MaxWait:          j.maxWait(exclude != ""),
+		MaxWait:          j.maxWait(failedUpstream != ""),
 		LatencyObjective: j.route.LatencyObjective,
 		AllowLate:        true,
 		PromptTokens:     j.info.PromptTokens,
 		MaxOutput:        j.info.MaxOutputTokens,
 		ExpectedOutput:   j.info.ExpectedOutputTokens,
 		Bytes:            len(j.body),
-		FailedUpstream:   exclude,
+		FailedUpstream:   failedUpstream,
 		RegionConstraint: scheduler.RegionConstraint(routing.RegionConstraintOf(j.route, j.organisation)),
 	}
 }
--- a/internal/proxy/caller_disconnect_test.go
+++ b/internal/proxy/caller_disconnect_test.go
@@ -30,7 +30,7 @@
 }
 
 // cancelRequest makes a request whose caller disconnects once reached is closed. It returns when
-// the request has ended and only others requests are in flight.
+// the request has ended and the given number of other requests is in flight.
 func (r *harness) cancelRequest(q *http.Request, reached <-chan struct{}, others int) {
 	r.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -34,7 +34,7 @@
 	responseMargin = 20 * time.Millisecond
 )
 
-// Options are the settings and dependencies of a Handler.
+// Options configure a Handler.
 type Options struct {
 	View     *view.View
 	Fleet    *fleet.Fleet
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -121,7 +121,7 @@
 	if !j.route.MayRetry() || j.attempts+1 >= j.route.MaxAttempts || j.route.LatencyObjective == 0 {
 		return silenceTimer{}
 	}
-	firstTimeout := max(time.Duration(responseTimeoutFactor*float64(j.route.LatencyObjective)), predictedTimeoutFactor*l.Predicted())
+	firstTimeout := max(time.Duration(responseTimeoutFactor*float64(j.route.LatencyObjective)), predictedTimeoutFactor*l.PredictedFirstToken())
 	return silenceTimer{
 		timer: time.AfterFunc(firstTimeout, func() { cancel(errSilent) }),
 		idle:  idleTimeoutFactor * j.route.MaxEventInterval,
@@ -215,7 +215,7 @@
 		return r.brokenResult(err)
 	}
 	if r.response.Status < http.StatusInternalServerError {
-		r.onFirst() // a failure comes sooner than a response would
+		r.onFirst() // not for a failure, which comes sooner than a successful response
 	}
 	if len(buffered) <= maxBufferedBytes {
 		complete := &bufferedResponse{status: r.response.Status, header: r.response.Header, body: buffered}
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -351,7 +351,7 @@
 	}
 }
 
-func FuzzMergeUpdate(f *testing.F) {
+func FuzzMerge(f *testing.F) {
 	b := newRegistry(true)
 	crashOf(b, start, "1", "x", "y+")
 	crashOf(b, start, "2", "x")
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -40,7 +40,7 @@
 // burst would grant nothing.
 const maxReserveShare = 0.5
 
-// Limiter keeps buckets. Safe for concurrent use.
+// Limiter keeps buckets. It is safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
 	started time.Time // new buckets were empty then; if zero, they hold initialBurstShare of their burst
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -30,7 +30,7 @@
 // endedLimitTTL is how long the end of a limit is kept, to override the limit at peers that still hold it.
 const endedLimitTTL = 10 * time.Second
 
-// Registry holds the known limits, by process. Safe for concurrent use.
+// Registry holds the known limits, by process. It is safe for concurrent use.
 type Registry struct {
 	log *log.Logger
 
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -27,7 +27,7 @@
 // ErrBackingOff means that the upstream has requested a backoff from this instance.
 var ErrBackingOff = errors.New("the upstream has requested a backoff from this instance")
 
-// Backoffs holds the requested backoffs, by upstream. Safe for concurrent use.
+// Backoffs holds the requested backoffs, by upstream. It is safe for concurrent use.
 type Backoffs struct {
 	mu         sync.Mutex
 	byUpstream map[string]*backoff
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -19,7 +19,7 @@
 	PerSecond float64
 }
 
-// Budget is a balance of retries, filled by first attempts and by time. Safe for concurrent use.
+// Budget is a balance of retries, filled by first attempts and by time. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	o        Options
--- a/internal/scheduler/advertised_limit.go
+++ b/internal/scheduler/advertised_limit.go
@@ -15,7 +15,7 @@
 	// random when it may grant.
 	isolatedRateShare = 0.5
 	// minRate is the rate, in requests per second, that an upstream gets even if it advertises a
-	// lower limit. Without it, the end of a limit of 0 would not be noticed.
+	// lower limit. Without it, the end of a limit of (almost) 0 would not be noticed.
 	minRate = 0.1
 )
 
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -21,7 +21,7 @@
 	"github.com/tacktally/tacktally/internal/queue"
 )
 
-// Options configures a Core.
+// Options configure a Core.
 type Options struct {
 	// Picker selects the upstream of a request.
 	Picker balancer.Picker
--- a/internal/view/recheck.go
+++ b/internal/view/recheck.go
@@ -6,8 +6,9 @@
 )
 
 // recheckInterval is the minimum time between two reads of one upstream's entry that its responses
-// cause. An upstream that leaves closes its connections with each response; others do so
-// occasionally (none in 5,000 responses under steady load), so the number of reads is bounded.
+// cause. An upstream that leaves announces with each response that it closes the connection; others
+// do so occasionally (none in 5,000 responses under steady load). The interval is there since the
+// number of reads of the source is limited.
 const recheckInterval = time.Second
 
 // RecheckUpstream reads the entry of an upstream whose responses suggest that it is leaving, unless
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -28,22 +28,23 @@
 
 // Sink receives what a Source reads. Its methods may be called by several goroutines.
 type Sink interface {
-	// SetConfiguration passes the configuration published under a revision. The read that returned
-	// it was sent at asOf.
+	// SetConfiguration sets the configuration published under a revision. The read that returned it
+	// was sent at asOf.
 	SetConfiguration(revision int64, content []byte, asOf time.Time)
-	// SetUpstreams passes the whole list, as the source had it at a revision. The read was sent at
+	// SetUpstreams sets the whole list, as the source had it at a revision. The read was sent at
 	// asOf.
 	SetUpstreams(list []Upstream, revision int64, asOf time.Time)
-	// ApplyChanges passes the changes of the list since, in order, up to a revision.
+	// ApplyChanges applies the changes of the list since, in order, up to a revision. The read that
+	// returned them was sent at asOf.
 	ApplyChanges(changes []Change, revision int64, asOf time.Time)
-	// ProveCurrent passes the source's revision, as a read showed it that was sent at asOf. A list
-	// that is complete up to it is current as of then.
+	// ProveCurrent records that a read sent at asOf showed the source at a revision. A list that is
+	// complete up to it is current as of then.
 	ProveCurrent(revision int64, asOf time.Time)
-	// SetEvacuations passes all availability zones that are evacuated, as the source had them at a
-	// revision. It is called before the configuration of the same read is passed, so that an instance
-	// that has a configuration knows the evacuations as of the same time.
+	// SetEvacuations sets all availability zones that are evacuated, as the source had them at a
+	// revision. It is called before SetConfiguration with the same read, so that an instance that has
+	// a configuration knows the evacuations as of the same time.
 	SetEvacuations(zones []string, revision int64)
-	// ApplyZoneChanges passes evacuations that have begun and ended since, in order, up to a revision.
+	// ApplyZoneChanges applies the begins and ends of evacuations since, in order, up to a revision.
 	ApplyZoneChanges(changes []ZoneChange, revision int64)
 	// SourceReached and SourceUnreachable report whether the source responds.
 	SourceReached()
