--- a/internal/answer/buffer.go
+++ b/internal/answer/buffer.go
@@ -21,7 +21,7 @@
 // MaxRetainedBytes bounds one retained response, in bytes.
 const MaxRetainedBytes = 32 << 20
 
-// ErrTooLarge: a retained response exceeds MaxRetainedBytes.
+// ErrTooLarge means that a retained response exceeds MaxRetainedBytes.
 var ErrTooLarge = errors.New("the response to a non-idempotent request is larger than 32 MiB, more than an instance retains for retries; let the service respond with less, such as a reference")
 
 // Head is the head of a response.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -337,7 +337,7 @@
 
 // fleetState is the state that was last passed to the fleet.
 type fleetState struct {
-	change     uint64 // the mesh's MembershipVersion
+	change     uint64 // the mesh's MembershipChangeCount
 	at         time.Time
 	membership membershipSummary
 }
@@ -345,7 +345,7 @@
 // refreshFleet passes the known instances to the fleet if they have changed, or
 // settledCheckInterval has passed.
 func (i *Instance) refreshFleet() {
-	change, now := i.mesh.MembershipVersion(), time.Now()
+	change, now := i.mesh.MembershipChangeCount(), time.Now()
 	if change == i.lastFleet.change && now.Sub(i.lastFleet.at) < settledCheckInterval {
 		return
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -63,8 +63,8 @@
 // FetchRequest implements peer.Handler.
 func (p *peerHandler) FetchRequest() *peer.FetchRequest {
 	v := p.instance.view
-	have := v.KnownState()
-	return &peer.FetchRequest{Revision: v.Revision(), ListVersion: have.Version, AcceptsDelta: true, ListChecksums: have.Checksums}
+	known := v.KnownState()
+	return &peer.FetchRequest{Revision: v.Revision(), ListVersion: known.Version, AcceptsDelta: true, ListChecksums: known.Checksums}
 }
 
 // MergeState implements peer.Handler. The peer's state was current when it was requested or later,
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -18,14 +18,15 @@
 
 // Errors that show how far an exchange got.
 var (
-	// ErrNotSent: no byte of the request was written. It can't have run.
+	// ErrNotSent means that no byte of the request was written. It can't have run.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrNoResponse: the request was written, at least in part, and no response arrived. It may
-	// have run.
+	// ErrNoResponse means that the request was written, at least in part, and no response
+	// arrived. It may have run.
 	ErrNoResponse = errors.New("no response arrived after the request was sent")
-	// ErrInvalidResponse: the bytes that arrived are no response to the request. It may have run.
+	// ErrInvalidResponse means that the bytes that arrived are no response to the request. It may
+	// have run.
 	ErrInvalidResponse = errors.New("the received bytes are no response to the request")
-	// ErrTruncated: the response ended early.
+	// ErrTruncated means that the response ended early.
 	ErrTruncated = errors.New("the response ended early")
 )
 
--- a/internal/fleet/advertised_limits_test.go
+++ b/internal/fleet/advertised_limits_test.go
@@ -111,7 +111,7 @@
 	return h
 }
 
-// start restarts an instance, which knows the list alone.
+// start restarts an instance, which then knows only the list.
 func (h *limitHarness) start(m *limitMember) {
 	m.started, m.informed = time.Now(), time.Time{}
 	m.fleet = New(Options{
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -129,7 +129,7 @@
 	return h
 }
 
-// start restarts an instance, which knows the list alone.
+// start restarts an instance, which then knows only the list.
 func (h *coldHarness) start(m *coldMember) {
 	m.started, m.unsent, m.listVersion = time.Now(), nil, h.version
 	m.fleet = New(Options{
--- a/internal/fleet/instances.go
+++ b/internal/fleet/instances.go
@@ -16,7 +16,8 @@
 	Zone string
 	// Cores is the processor time of the instance, in cores; 0 if unknown.
 	Cores float64
-	// Reachable reports whether the link to the instance is up.
+	// Reachable reports whether the instance is reachable as far as known: it is linked to this one, or
+	// a peer attests it (see package membership).
 	Reachable bool
 	// MayOwn reports whether the instance may own shards: it is reachable and not leaving.
 	MayOwn bool
--- a/internal/fleet/preferred_shards.go
+++ b/internal/fleet/preferred_shards.go
@@ -11,8 +11,8 @@
 const (
 	// preferredShardCount is how many shards of a service an instance uses while they have free capacity.
 	// It sends to the same few owners again and again, over links that are up, however many shards there
-	// are. It is two, since shards are preferred by different numbers of instances, which would show with
-	// one alone.
+	// are. With one alone the shards would be loaded unevenly, since they are preferred by different
+	// numbers of instances.
 	preferredShardCount = 2
 	// spreadFor is how long an instance uses all shards after one of its preferred ones had no free slot.
 	spreadFor = time.Second
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -117,9 +117,9 @@
 	return slices.Index(o.allHubs(now)[o.self.Zone], o.self.Address)
 }
 
-// RankInZone returns how many reachable instances of its zone precede this instance in the order by
+// ZoneRank returns how many reachable instances of its zone precede this instance in the order by
 // which hubs are taken.
-func (o *Overlay) RankInZone(now time.Time) int {
+func (o *Overlay) ZoneRank(now time.Time) int {
 	own := rankedOf(&o.self)
 	before := 0
 	for _, e := range o.members {
--- a/internal/peer/fetch.go
+++ b/internal/peer/fetch.go
@@ -65,7 +65,8 @@
 }
 
 // maxFetchPeers bounds the peers that FetchAny queries in a sparse mesh. Only peers that read the
-// source may have newer state; a few others are queried in case those are cut off from the source. Each replies with a whole configuration.
+// source may have newer state; a few others are queried in case those are cut off from the source.
+// Each replies with a whole configuration.
 const maxFetchPeers = 8
 
 // peersToFetchFrom returns the peers that FetchAny queries: all known peers in a full mesh; in a
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -25,7 +25,7 @@
 	outboxFrames = 256
 )
 
-// ErrLinkClosed reports that the link ended. What was sent on it may or may not have arrived.
+// ErrLinkClosed means that the link ended. What was sent on it may or may not have arrived.
 var ErrLinkClosed = errors.New("link to the peer closed")
 
 // link is one connection. One goroutine writes its frames and another reads them; send may be
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -94,7 +94,7 @@
 	maxFetchDelay = 300 * time.Millisecond
 )
 
-// ErrUnreachable reports that no link to the peer is up.
+// ErrUnreachable means that no link to the peer is up.
 var ErrUnreachable = errors.New("no link to the peer")
 
 // Mesh holds the links of one instance to its peers. It is safe for concurrent use.
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -10,7 +10,7 @@
 	"github.com/tacktally/tacktally/internal/ratelimit"
 )
 
-// ErrNoReply reports that a peer didn't reply in time.
+// ErrNoReply means that a peer didn't reply in time.
 var ErrNoReply = errors.New("peer did not reply in time")
 
 // slotFrames bounds the frames that wait on the stream of one slot: the notice that the request is
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -326,9 +326,9 @@
 	return out
 }
 
-// MembershipVersion increases whenever the set of peers or their reachability changes; changes that
-// come with time alone don't count. It is 0 in a full mesh.
-func (m *Mesh) MembershipVersion() uint64 {
+// MembershipChangeCount returns the number of changes of the set of peers and of their reachability
+// so far. Changes that come with the passage of time alone don't count. It is 0 in a full mesh.
+func (m *Mesh) MembershipChangeCount() uint64 {
 	if m.sparse == nil {
 		return 0
 	}
@@ -357,7 +357,7 @@
 	defer m.mu.Unlock()
 	overlay := m.sparse.overlay
 	now := boottime.Now()
-	return Role{HubRank: overlay.HubRank(now), ZoneRank: overlay.RankInZone(now), Seed: overlay.IsSeed(), NoOtherSeed: overlay.SeedCount() == 0}
+	return Role{HubRank: overlay.HubRank(now), ZoneRank: overlay.ZoneRank(now), Seed: overlay.IsSeed(), NoOtherSeed: overlay.SeedCount() == 0}
 }
 
 // LinkCount returns the number of peers to which links are up.
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -4,8 +4,8 @@
 //
 // A request that may have run is retried only if its route allows retries, and within the route's
 // attempt limit and the service's retry budget. A broken stream is resumed at another upstream
-// after the last event that was relayed to the caller. A request that can't be completed is answered at
-// once with a problem.
+// after the last event that was relayed to the caller. A request that can't be completed is
+// answered at once with a problem.
 //
 // Protocol covers everything that callers and upstreams exchange beyond plain HTTP.
 package proxy
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -41,7 +41,7 @@
 	age        time.Duration
 }
 
-// errUnsigned: a success without an upstream's signature.
+// errUnsigned means that a success lacks the upstream's signature.
 var errUnsigned = errors.New("successful response without the upstream's signature")
 
 // attempt sends the request to the granted upstream and relays the response.
@@ -152,7 +152,7 @@
 	response *exchange.Response
 	silence  silenceTimer
 	onFirst  func() // called when a successful response begins
-	onData   func() // called after each event
+	onData   func() // called for each event
 }
 
 func (r *relay) run() attemptResult {
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -50,7 +50,7 @@
 	return api.Refuse(api.ReasonCrashesUpstreams, "upstreams crashed repeatedly while running this request, so it is quarantined; change it, or retry after the given time").WithRetryAfter(left)
 }
 
-// ErrQuarantined: the request is quarantined, since upstreams that run it crash.
+// ErrQuarantined means that the request is quarantined, since upstreams that run it crash.
 var ErrQuarantined = errors.New("request is quarantined, since upstreams that run it crash")
 
 // crash is the termination of one process of an upstream.
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-// ErrTooLarge: an event exceeds the size limit.
+// ErrTooLarge means that an event exceeds the size limit.
 var ErrTooLarge = errors.New("event is too large")
 
 // Read reads one event up to and including the blank line that ends it. Blank lines before the
