--- a/internal/fleet/advertised_limits_test.go
+++ b/internal/fleet/advertised_limits_test.go
@@ -94,7 +94,7 @@
 
 func (m *limitMember) isFrozen() bool { return time.Now().Before(m.frozen) }
 
-func newLimitWorld(seed uint64, fleet int, limit float64) *limitHarness {
+func newLimitHarness(seed uint64, fleet int, limit float64) *limitHarness {
 	h := &limitHarness{random: rand.New(rand.NewPCG(seed, 11)), limit: limit, addresses: map[string]*limitMember{}}
 	h.demand = limitUpstreams * max(minDemandPerUpstream, limitDemandFactor*limit)
 	for i := range limitUpstreams {
@@ -308,7 +308,7 @@
 
 func runLimit(t *testing.T, seed uint64, fleet int, limit float64) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newLimitWorld(seed, fleet, limit)
+		h := newLimitHarness(seed, fleet, limit)
 		h.run(t, limitRunLength)
 		allowed := int(limitOverage*limit*limitWindow.Seconds()) + limitSlack
 		t.Logf("seed %d: %d in the worst %v of %d allowed, %d from all instances; the other upstreams served %d", seed, h.informed.worst, limitWindow, allowed, h.all.worst, h.served)
@@ -321,7 +321,7 @@
 // newUndisturbedHarness returns a fleet of six without faults and an upstream with a limit, after some
 // time.
 func newUndisturbedHarness(t *testing.T, limit float64) *limitHarness {
-	h := newLimitWorld(1, 6, limit)
+	h := newLimitHarness(1, 6, limit)
 	h.undisturbed = true
 	h.run(t, 8*time.Second)
 	return h
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -116,7 +116,7 @@
 // FleetSize implements SlotClient.
 func (m *coldMember) FleetSize() int { return coldInstances }
 
-func newColdWorld(seed uint64) *coldHarness {
+func newColdHarness(seed uint64) *coldHarness {
 	h := &coldHarness{random: rand.New(rand.NewPCG(seed, 7)), side: map[string]int{}, cold: map[string]time.Time{}, arrived: map[string][]time.Time{}, version: 1}
 	for i := range coldUpstreams {
 		h.list = append(h.list, view.Upstream{ID: fmt.Sprint("u-", i), Service: "s", Address: "127.0.0.1:1", Slots: 10})
@@ -271,7 +271,7 @@
 // worst second.
 func runCold(t *testing.T, seed uint64) (worst int) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newColdWorld(seed)
+		h := newColdHarness(seed)
 		for end := time.Now().Add(coldRunLength); time.Now().Before(end); {
 			h.step(t)
 			<-time.After(coldStep)
@@ -290,7 +290,7 @@
 func TestColdUpstreamGetsItsColdStartRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h := newColdWorld(1)
+		h := newColdHarness(1)
 		<-time.After(time.Second) // all instances have settled
 		h.cold["u-0"] = time.Now().Add(coldDuration)
 		h.version++
@@ -317,7 +317,7 @@
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h := newColdWorld(1)
+		h := newColdHarness(1)
 		for i := range h.list {
 			h.list[i].Zone = []string{"bole", "piassa"}[i%2]
 		}
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -54,11 +54,11 @@
 	return ""
 }
 
-func processName(id string, born int64) string {
-	if born == 0 {
+func processName(id string, incarnation int64) string {
+	if incarnation == 0 {
 		return id
 	}
-	return id + "@" + strconv.FormatInt(born, 10)
+	return id + "@" + strconv.FormatInt(incarnation, 10)
 }
 
 // Neighbours returns the connection pools of at most n randomly selected other upstreams in the
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -87,7 +87,7 @@
 		if problem := j.checkQuarantine(); problem != nil {
 			return j.orUpstreamFailure(j.markPossiblyRun(problem))
 		}
-		l, problem := j.handler.o.Fleet.Acquire(ctx, j.acquireRequest(failedUpstream, kind))
+		g, problem := j.handler.o.Fleet.Acquire(ctx, j.acquireRequest(failedUpstream, kind))
 		if problem == nil || kind == peer.FirstAttempt {
 			kind = peer.RequeuedAttempt
 		}
@@ -100,8 +100,8 @@
 		if problem != nil {
 			return j.orUpstreamFailure(j.markPossiblyRun(j.orBackoffProblem(problem)))
 		}
-		r := j.attempt(ctx, l)
-		j.reportResult(l, r)
+		r := j.attempt(ctx, g)
+		j.reportResult(g, r)
 		switch r.status {
 		case notSent:
 			connectFailures++
@@ -120,7 +120,7 @@
 			kind = peer.RetryAttempt
 		}
 		last = r
-		failedUpstream = l.Upstream()
+		failedUpstream = g.Upstream()
 		j.handler.o.Metrics.Retried(reason)
 		j.handler.o.Log.Info().Str("event", "retry").Str("request", j.info.ID).Str("reason", string(reason)).
 			Str("upstream", failedUpstream).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("retrying the request")
@@ -213,16 +213,16 @@
 }
 
 // reportResult reports the result of an attempt to the scheduler and releases the slot.
-func (j *job) reportResult(l fleet.Grant, r attemptResult) {
+func (j *job) reportResult(g fleet.Grant, r attemptResult) {
 	output := 0
 	if r.status == completed {
 		output = j.outputTokens()
 	}
-	l.End(schedulerResultOf(r.status, j.status), output)
+	g.End(schedulerResultOf(r.status, j.status), output)
 	j.recordCrashEvidence(r)
 	if r.status != completed {
-		j.handler.o.Log.Info().Str("event", "attempt_failed").Str("request", j.info.ID).Str("key", j.quarantineKey.String()).Int("events", j.events).Str("upstream", l.Upstream()).
-			Str("owner", l.Owner()).Int64("owner_list", l.ListVersion()).Int64("list", j.versions.own).Dur("list_age", j.versions.age).Str("status", r.status.String()).Str("cause", fmt.Sprint(r.err)).Msg("attempt did not complete")
+		j.handler.o.Log.Info().Str("event", "attempt_failed").Str("request", j.info.ID).Str("key", j.quarantineKey.String()).Int("events", j.events).Str("upstream", g.Upstream()).
+			Str("owner", g.Owner()).Int64("owner_list", g.ListVersion()).Int64("list", j.versions.own).Dur("list_age", j.versions.age).Str("status", r.status.String()).Str("cause", fmt.Sprint(r.err)).Msg("attempt did not complete")
 	}
 }
 
--- a/internal/proxy/crashes.go
+++ b/internal/proxy/crashes.go
@@ -22,12 +22,12 @@
 
 // beforeSend returns an error if the request may no longer be sent to the granted upstream. It is
 // called right before the first byte is written.
-func (j *job) beforeSend(l fleet.Grant) error {
+func (j *job) beforeSend(g fleet.Grant) error {
 	if j.handler.o.Quarantine.Remaining(time.Now(), j.quarantineKey) > 0 {
 		return quarantine.ErrQuarantined
 	}
 	j.sentAt = time.Now()
-	return j.handler.o.Fleet.BeginAttempt(l)
+	return j.handler.o.Fleet.BeginAttempt(g)
 }
 
 // recordCrashEvidence records what the result of an attempt shows about crashes, and announces
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -45,13 +45,13 @@
 var errUnsigned = errors.New("successful response without the upstream's signature")
 
 // attempt sends the request to the granted upstream and relays the response.
-func (j *job) attempt(ctx context.Context, l fleet.Grant) attemptResult {
+func (j *job) attempt(ctx context.Context, g fleet.Grant) attemptResult {
 	age, _ := j.handler.o.View.ListAge()
-	j.versions = listVersions{owner: l.ListVersion(), own: j.handler.o.View.ListVersion(), age: age}
-	if err := j.handler.o.Fleet.CheckUsable(l.Upstream()); err != nil {
+	j.versions = listVersions{owner: g.ListVersion(), own: j.handler.o.View.ListVersion(), age: age}
+	if err := j.handler.o.Fleet.CheckUsable(g.Upstream()); err != nil {
 		return attemptResult{status: notUsable, err: err}
 	}
-	connections := j.handler.o.Fleet.ConnectionsTo(l.Upstream())
+	connections := j.handler.o.Fleet.ConnectionsTo(g.Upstream())
 	if connections == nil {
 		return attemptResult{status: notUsable, err: fleet.ErrNotListed}
 	}
@@ -61,20 +61,20 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(context.Canceled)
-	silence := j.startSilenceTimer(l, cancel)
+	silence := j.startSilenceTimer(g, cancel)
 	defer silence.stop()
 	j.attempts++
 	j.events = 0
-	process := j.handler.o.Fleet.ProcessOf(l.Upstream())
-	j.upstream = l.Upstream()
-	j.owner = l.Owner()
+	process := j.handler.o.Fleet.ProcessOf(g.Upstream())
+	j.upstream = g.Upstream()
+	j.owner = g.Owner()
 	j.sentAfter = time.Since(j.arrived)
-	defer j.handler.running.start(j.handler.o.Fleet.ZoneOf(l.Upstream()))()
-	response, err := connections.Do(ctx, j.exchangeRequest(l, remaining))
+	defer j.handler.running.start(j.handler.o.Fleet.ZoneOf(g.Upstream()))()
+	response, err := connections.Do(ctx, j.exchangeRequest(g, remaining))
 	if err != nil {
 		status, err := statusOf(ctx, err)
 		if status != notUsable {
-			j.handler.o.Fleet.RecordNoResponse(l.Upstream())
+			j.handler.o.Fleet.RecordNoResponse(g.Upstream())
 		}
 		if status == notSent || status == notUsable {
 			j.attempts--
@@ -84,9 +84,9 @@
 		return attemptResult{status: status, err: err, process: process}
 	}
 	defer response.Close()
-	l.RecordActivity()
-	r := &relay{job: j, ctx: ctx, response: response, silence: silence, onData: l.RecordActivity, onFirst: func() {
-		l.RecordFirstToken()
+	g.RecordActivity()
+	r := &relay{job: j, ctx: ctx, response: response, silence: silence, onData: g.RecordActivity, onFirst: func() {
+		g.RecordFirstToken()
 		j.firstAfter = time.Since(j.arrived)
 		j.handler.o.Metrics.FirstToken(j.route.Kind.String(), j.firstAfter)
 	}}
@@ -95,10 +95,10 @@
 	return result
 }
 
-func (j *job) exchangeRequest(l fleet.Grant, remaining time.Duration) *exchange.Request {
+func (j *job) exchangeRequest(g fleet.Grant, remaining time.Duration) *exchange.Request {
 	header := j.header.Clone()
 	p := j.handler.o.Protocol
-	p.SetAttemptHeaders(header, Attempt{Upstream: l.Upstream(), Organisation: j.organisationName(), Remaining: remaining, LastEventID: j.lastEventID})
+	p.SetAttemptHeaders(header, Attempt{Upstream: g.Upstream(), Organisation: j.organisationName(), Remaining: remaining, LastEventID: j.lastEventID})
 	return &exchange.Request{
 		Method:     j.request.Method,
 		Target:     j.target(),
@@ -106,7 +106,7 @@
 		Header:     header,
 		Body:       j.body,
 		IsResponse: func(h http.Header) bool { return p.IsResponseTo(h, j.info.ID) },
-		BeforeSend: func() error { return j.beforeSend(l) },
+		BeforeSend: func() error { return j.beforeSend(g) },
 	}
 }
 
@@ -117,11 +117,11 @@
 	idle  time.Duration
 }
 
-func (j *job) startSilenceTimer(l fleet.Grant, cancel context.CancelCauseFunc) silenceTimer {
+func (j *job) startSilenceTimer(g fleet.Grant, cancel context.CancelCauseFunc) silenceTimer {
 	if !j.route.MayRetry() || j.attempts+1 >= j.route.MaxAttempts || j.route.LatencyObjective == 0 {
 		return silenceTimer{}
 	}
-	firstTimeout := max(time.Duration(responseTimeoutFactor*float64(j.route.LatencyObjective)), predictedTimeoutFactor*l.PredictedFirstToken())
+	firstTimeout := max(time.Duration(responseTimeoutFactor*float64(j.route.LatencyObjective)), predictedTimeoutFactor*g.PredictedFirstToken())
 	return silenceTimer{
 		timer: time.AfterFunc(firstTimeout, func() { cancel(errSilent) }),
 		idle:  idleTimeoutFactor * j.route.MaxEventInterval,
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// MaxBackoff bounds the backoff that an upstream may request; a longer one is taken for a mistake.
+	// MaxBackoff bounds the backoff that an upstream may request; more than a day is taken for a mistake.
 	MaxBackoff = 24 * time.Hour
 	// probeTimeout is how long the first request after a backoff may stay unanswered before another one is
 	// let through.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -240,12 +240,12 @@
 	for range 10 {
 		running = append(running, c.Submit(start, newRequest(0, 3600)).Grants[0])
 	}
-	cut := start.Add(time.Second)
+	failedAt := start.Add(time.Second)
 	for _, g := range running {
-		c.RecordFailure(cut, g)
+		c.RecordFailure(failedAt, g)
 	}
-	is.Equal(len(c.Submit(cut, newRequest(0, 3600)).Grants), 0)
-	is.Equal(len(c.Poll(cut.Add(minOpenPeriod)).Grants), 1)
+	is.Equal(len(c.Submit(failedAt, newRequest(0, 3600)).Grants), 0)
+	is.Equal(len(c.Poll(failedAt.Add(minOpenPeriod)).Grants), 1)
 }
 
 // An upstream that has recovered is used again within maxOpenPeriod, however often it failed.
