--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -82,7 +82,7 @@
 	RecordFirstToken()
 	RecordActivity()
 	// End releases the slot and reports how the request ended, with its number of output tokens.
-	End(e scheduler.Result, output int)
+	End(r scheduler.Result, output int)
 }
 
 // localGrant is a Grant of this instance.
@@ -99,7 +99,7 @@
 func (g *localGrant) PredictedFirstToken() time.Duration { return g.grant.PredictedFirstToken() }
 func (g *localGrant) RecordFirstToken()                  { g.shard.pool.RecordFirstToken(g.grant) }
 func (g *localGrant) RecordActivity()                    { g.grant.Upstream.MarkSeen(time.Now()) }
-func (g *localGrant) End(e scheduler.Result, output int) { g.shard.pool.End(g.grant, e, output) }
+func (g *localGrant) End(r scheduler.Result, output int) { g.shard.pool.End(g.grant, r, output) }
 
 // grantedSlot is a slot that a peer granted. *peer.Slot implements it.
 type grantedSlot interface {
@@ -124,9 +124,9 @@
 func (g *peerGrant) PredictedFirstToken() time.Duration { return g.slotGrant.PredictedFirstToken }
 func (g *peerGrant) RecordFirstToken()                  { g.slot.Started() }
 func (g *peerGrant) RecordActivity()                    {} // the owner gets first tokens and results only
-func (g *peerGrant) End(e scheduler.Result, output int) {
+func (g *peerGrant) End(r scheduler.Result, output int) {
 	g.tracked.remove(g)
-	g.slot.Release(peer.SlotRelease{Result: uint8(e), Output: output})
+	g.slot.Release(peer.SlotRelease{Result: uint8(r), Output: output})
 }
 
 // peerGrants holds the unfinished grants of other instances. It is safe for concurrent use.
--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -76,8 +76,8 @@
 }
 
 // NextLeavingNotices returns the processes with a leaving notice for the next message to peers: the
-// recent ones, and a few of the older ones round-robin, so that a peer that has just started receives all
-// of them in the end.
+// recent ones, and a few of the older ones round-robin, so that a peer that has just started
+// eventually receives all of them.
 func (f *Fleet) NextLeavingNotices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip selects what one message to peers contains: recent changes, which are repeated for a while
-// since messages get lost, and a few older ones round-robin, so that a peer that has just started receives
-// all of them in the end.
+// since messages get lost, and a few older ones round-robin, so that a peer that has just started
+// eventually receives all of them.
 package gossip
 
 import "slices"
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -125,10 +125,10 @@
 }
 
 // AcquireSlot requests a slot from a peer and blocks until it grants or refuses one, or ctx ends. A
-// peer that sends nothing within ackWithin has failed; one that replied that the request is queued
+// peer that sends nothing within ackTimeout has failed; one that replied that the request is queued
 // may take longer. An error means that the peer didn't decide.
-func (m *Mesh) AcquireSlot(ctx context.Context, address string, r *SlotRequest, ackWithin time.Duration) (*Slot, *SlotRefusal, error) {
-	ackCtx, cancel := context.WithTimeoutCause(ctx, ackWithin, ErrNoReply)
+func (m *Mesh) AcquireSlot(ctx context.Context, address string, r *SlotRequest, ackTimeout time.Duration) (*Slot, *SlotRefusal, error) {
+	ackCtx, cancel := context.WithTimeoutCause(ctx, ackTimeout, ErrNoReply)
 	defer cancel()
 	l, err := m.ensureLink(ackCtx, address)
 	if err != nil {
--- a/internal/ratelimit/updates.go
+++ b/internal/ratelimit/updates.go
@@ -66,7 +66,7 @@
 }
 
 // NextUpdates returns the updates of the next message to peers: the recent ones, and a few of the older ones
-// round-robin, so that a peer that has just started receives all of them in the end.
+// round-robin, so that a peer that has just started eventually receives all of them.
 func (r *Registry) NextUpdates(now time.Time) []Update {
 	all := r.All(now)
 	older := slices.IndexFunc(all, func(t Update) bool { return t.Age >= recentFor })
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -2,10 +2,10 @@
 // refused.
 //
 // Core schedules the requests of one set of upstreams. It is a state machine without goroutines,
-// timers or I/O: each method takes the current time and returns the decisions to carry out. The
-// daemon drives it with the wall clock, the experiments with virtual time. Engines admit requests
-// in order of arrival, so requests wait in the scheduler's queue and an engine is sent only as many
-// as keep it busy.
+// timers or I/O: each method takes the current time and returns the decisions to carry out. Package
+// pool drives it with the wall clock, the experiments with virtual time. Engines admit requests in
+// order of arrival, so requests wait in the scheduler's queue and an engine is sent only as many as
+// keep it busy.
 //
 // A Core is not safe for concurrent use.
 package scheduler
--- a/internal/view/list.go
+++ b/internal/view/list.go
@@ -10,9 +10,10 @@
 	// AsOf is when the read was sent that last showed the list to be current.
 	AsOf time.Time
 	// Since is the version after which Upstreams and Removed are all changes; 0 where Upstreams is
-	// the whole list, or the whole of Chunks.
+	// the whole list, or all upstreams of Chunks.
 	Since int64
-	// Chunks are those that Upstreams is the whole of; nil where it is the whole list.
+	// Chunks are the chunks whose upstreams Upstreams contains; nil where it is the whole list, or
+	// the changes since a version.
 	Chunks    []int
 	Upstreams []Upstream
 	// Removed are the IDs of upstreams that have left the list since.
