--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -23,7 +23,7 @@
 		ListVersion: d.instances.version(),
 		Draining:    d.gateway.Draining(),
 		InFlight:    d.dispatcher.InFlight(),
-		Keys:        d.register.Stats(),
+		Keys:        d.registry.Stats(),
 		Peers:       d.mesh.Peers(),
 	}
 	if snapshot != nil {
@@ -43,16 +43,16 @@
 	return make([]int, ranks)
 }
 
-// Try implements operatorapi.Instance.
-func (d *Daemon) Try(ctx context.Context, content []byte) error {
-	var have config.Parts
+// Validate implements operatorapi.Instance.
+func (d *Daemon) Validate(ctx context.Context, content []byte) error {
+	var known config.Parts
 	if c := d.holder.Current(); c != nil {
-		have = c.Parts(nil)
+		known = c.Parts(nil)
 	}
-	_, err := config.Accept(1, content, have)
+	_, err := config.Accept(1, content, known)
 	var missing *config.MissingPartsError
 	if errors.As(err, &missing) {
-		_, err = config.Accept(1, content, d.readParts(ctx, have, missing.References))
+		_, err = config.Accept(1, content, d.fetchParts(ctx, known, missing.References))
 	}
 	return err
 }
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -11,65 +11,66 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// resumePause is the time between two tries to resume a stream.
-const resumePause = 50 * time.Millisecond
+// resumeDelay is added to the delay with each attempt to resume a stream. The first attempt is made
+// at once.
+const resumeDelay = 50 * time.Millisecond
 
-// mayResume tells whether a cut stream can be taken up at its engine. The engine
-// goes on with the same run, so this holds for non-idempotent requests too.
+// mayResume reports whether a truncated stream can be resumed at its engine. The engine continues
+// the same run, so non-idempotent requests may be resumed too.
 func (a *attempts) mayResume(r upstream.Result) bool {
 	return r.StreamID != "" && a.request.Kind != request.Service && a.resumes < maxResumes
 }
 
-// resume takes a stream up where it was cut, without reading the prompt again.
-func (a *attempts) resume(ctx context.Context, address string, cut upstream.Result) answer.End {
-	for a.mayResume(cut) {
+// resume continues a truncated stream where it stopped, without a second prefill.
+func (a *attempts) resume(ctx context.Context, address string, truncated upstream.Result) answer.End {
+	for a.mayResume(truncated) {
 		a.resumes++
-		a.epoch = a.dispatcher.o.Gate.Detector.Epoch()
-		a.dispatcher.retried(a.request, api.RetryResume, cut.Err)
-		if !wait.For(ctx, time.Duration(a.resumes-1)*resumePause) {
+		a.generation = a.dispatcher.o.Gate.Detector.Generation()
+		a.dispatcher.recordRetry(a.request, api.RetryResume, truncated.Err)
+		if !wait.For(ctx, time.Duration(a.resumes-1)*resumeDelay) {
 			break
 		}
-		result := a.dispatcher.o.Client.Do(ctx, a.resumeCall(address, cut.StreamID, cut.Events), a.buffer)
-		a.output += result.Output
+		result := a.dispatcher.o.Client.Do(ctx, a.resumeCall(address, truncated.StreamID, truncated.Events), a.buffer)
+		a.outputTokens += result.OutputTokens
 		if result.Status == upstream.Done {
 			return answer.End{}
 		}
-		if result.Status != upstream.Cut {
-			result.StreamID, result.Events = cut.StreamID, cut.Events
+		if result.Status != upstream.Truncated {
+			result.StreamID, result.Events = truncated.StreamID, truncated.Events
 		}
-		cut = result
+		truncated = result
 	}
-	cut.Status = upstream.Cut
-	return a.end(cut)
+	truncated.Status = upstream.Truncated
+	return a.endOf(truncated)
 }
 
-// resumeForCaller takes up a stream that a caller lost, perhaps at another
-// instance. The engine checks that the stream is the organisation's.
+// resumeForCaller resumes a stream that the caller lost, possibly at another instance. The engine
+// checks that the stream belongs to the organisation.
 func (a *attempts) resumeForCaller(ctx context.Context) answer.End {
 	token, err := upstream.ParseResumeToken(a.request.LastEventID)
 	if err != nil {
 		return answer.End{Problem: api.Refuse(api.ReasonInvalidRequest, "%v", err)}
 	}
 	if !a.dispatcher.isListed(a.set, token.Upstream) {
-		return answer.End{Problem: api.LeaveUnknown(api.ReasonUpstreamLost, "the engine of this stream is no longer in service; send the request anew, without Last-Event-ID")}
+		return answer.End{Problem: api.UnknownOutcome(api.ReasonUpstreamLost, "the engine of this stream is no longer in service; send the request again, without Last-Event-ID")}
 	}
-	a.epoch = a.dispatcher.o.Gate.Detector.Epoch()
+	a.generation = a.dispatcher.o.Gate.Detector.Generation()
 	result := a.dispatcher.o.Client.Do(ctx, a.resumeCall(token.Upstream, token.StreamID, token.Events), a.buffer)
-	if result.Status == upstream.Cut && a.mayResume(result) {
+	if result.Status == upstream.Truncated && a.mayResume(result) {
 		return a.resume(ctx, token.Upstream, result)
 	}
-	return a.end(result)
+	return a.endOf(result)
 }
 
 func (a *attempts) resumeCall(address, stream string, events int) upstream.Call {
 	return upstream.Call{
-		Address:  address,
-		Request:  a.request,
-		Instance: a.dispatcher.o.Instance,
-		Revision: a.snapshot.Revision,
-		StreamID: stream,
-		Events:   events,
-		Guard:    a.guard,
-		OnFirst:  func() {},
+		Address:       address,
+		Request:       a.request,
+		Instance:      a.dispatcher.o.Instance,
+		Revision:      a.snapshot.Revision,
+		StreamID:      stream,
+		SkipEvents:    events,
+		BeforeWrite:   a.checkBeforeWrite,
+		OnFirstOutput: func() {},
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,7 +69,7 @@
 	address     string
 	incarnation idempotency.Incarnation
 	started     time.Time
-	output      *telemetry.Bounded
+	output      *telemetry.AsyncWriter
 	log         *log.Logger
 	metrics     *telemetry.Metrics
 	listeners   listeners
@@ -99,7 +99,7 @@
 		settings:    s,
 		incarnation: idempotency.NewIncarnation(),
 		started:     time.Now(),
-		output:      telemetry.NewBounded(o.LogWriter),
+		output:      telemetry.NewAsyncWriter(o.LogWriter),
 		metrics:     telemetry.NewMetrics(),
 	}
 	if err := i.listeners.open(s, i.metrics); err != nil {
@@ -337,7 +337,7 @@
 
 // fleetState is the state that was last passed to the fleet.
 type fleetState struct {
-	change     uint64 // the mesh's MembershipVersion
+	change     uint64 // the mesh's MembershipChangeCount
 	at         time.Time
 	membership membershipSummary
 }
@@ -345,7 +345,7 @@
 // refreshFleet passes the known instances to the fleet if they have changed, or
 // settledCheckInterval has passed.
 func (i *Instance) refreshFleet() {
-	change, now := i.mesh.MembershipVersion(), time.Now()
+	change, now := i.mesh.MembershipChangeCount(), time.Now()
 	if change == i.lastFleet.change && now.Sub(i.lastFleet.at) < settledCheckInterval {
 		return
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -63,8 +63,8 @@
 // FetchRequest implements peer.Handler.
 func (p *peerHandler) FetchRequest() *peer.FetchRequest {
 	v := p.instance.view
-	have := v.KnownState()
-	return &peer.FetchRequest{Revision: v.Revision(), ListVersion: have.Version, AcceptsDelta: true, ListChecksums: have.Checksums}
+	known := v.KnownState()
+	return &peer.FetchRequest{Revision: v.Revision(), ListVersion: known.Version, AcceptsDelta: true, ListChecksums: known.Checksums}
 }
 
 // MergeState implements peer.Handler. The peer's state was current when it was requested or later,
@@ -124,7 +124,7 @@
 		i.fleet.SetPeerLoad(from, scheduler.Load{Running: h.Running})
 	}
 	i.view.MergeEvacuations(view.Evacuations(h.Evacuations), from)
-	crashes := i.quarantine.MergeUpdate(time.Now(), h.Quarantine)
+	crashes := i.quarantine.Merge(time.Now(), h.Quarantine)
 	limits := i.fleet.MergeLimits(from, h.Limits)
 	if i.fleet.MergeLeavingNotices(from, h.Leaving) || crashes || limits {
 		i.relayUpdates()
--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -14,7 +14,7 @@
 // sent it, whatever is published for that process afterwards, since the published entry may be older.
 
 // processStateTTL is how long notices, backoffs and limits are kept for a process that is no longer on
-// the list: its entry may come back after an outage of the source.
+// the list: its entry may come back during or after an outage of the source.
 const processStateTTL = time.Minute
 
 const (
@@ -76,8 +76,8 @@
 }
 
 // NextLeavingNotices returns the processes with a leaving notice for the next message to peers: the
-// recent ones, and a few of the older ones round-robin, so that a peer that has just started receives all
-// of them in the end.
+// recent ones, and a few of the older ones round-robin, so that a peer that has just started
+// eventually receives all of them.
 func (f *Fleet) NextLeavingNotices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -16,15 +16,15 @@
 type QuotaClient interface {
 	TakeQuota(ctx context.Context, address string, r *peer.QuotaRequest, within time.Duration) (*peer.QuotaReply, error)
 	ReturnQuota(address string, r *peer.QuotaReturn)
-	// FleetSize returns the number of known instances, or 0 if this instance has peers but knows none of
-	// them yet.
+	// FleetSize returns the number of instances in the fleet as far as known, or 0 if this instance has
+	// peers but has received nothing from any of them yet.
 	FleetSize() int
 }
 
 // Quotas limits what each organisation uses over all instances. One instance, computed in the same way as
 // the owner of a shard, keeps the organisation's bucket, and the others request tokens from it. On the
-// sides of a network partition each side has an owner, which grants the share of its side. Safe for
-// concurrent use.
+// sides of a network partition each side has an owner, which grants the share of its side. It is
+// safe for concurrent use.
 type Quotas struct {
 	limiter        *quota.Limiter
 	startupLimiter *quota.Limiter // used until this instance has settled
@@ -130,7 +130,7 @@
 
 const (
 	// startupRateFactor is what an instance grants until it has settled, relative to its share of the
-	// rate: callers whose connections were lost all come back at once. The instance doesn't know earlier
+	// rate: callers whose connections were lost all retry at once. The instance doesn't know earlier
 	// usage. The allowance leaves about one second of the rate, plus what was unused while the fleet was
 	// down, for each of two starts within a window; grants during startup and from buckets that are taken
 	// over use about that much.
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// forwardPatience is how long a request waits for the link to its issuer.
-	forwardPatience = 3 * time.Second
-	// forwardPause is the time between two tries.
-	forwardPause = 50 * time.Millisecond
+	// forwardMaxWait is how long a request waits for the link to the issuer of its key.
+	forwardMaxWait = 3 * time.Second
+	// forwardRetryInterval is the time between two attempts to forward a request.
+	forwardRetryInterval = 50 * time.Millisecond
 )
 
-// forward sends the request to the issuer of its key. It is sent again when the
-// link breaks, which is safe: the issuer knows the key and joins the repeat, whose
-// answer is gone on with where it broke.
+// forward sends the request to the issuer of its key. It sends the request again when the link
+// fails. This is safe: the issuer recognises the key and joins the retry, whose response is resumed
+// where it stopped.
 func (g *Gateway) forward(ctx context.Context, claims idempotency.Claims, r *request.Request) *answer.Buffer {
 	b := answer.New(false)
 	go func() {
 		ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 		defer cancel()
-		problem := g.forwardUntilAnswered(ctx, claims, r, b)
+		problem := g.forwardUntilComplete(ctx, claims, r, b)
 		if problem != nil {
 			g.refuse(r, problem)
 			b.Finish(answer.End{Problem: problem})
@@ -35,36 +35,38 @@
 	return b
 }
 
-func (g *Gateway) forwardUntilAnswered(ctx context.Context, claims idempotency.Claims, r *request.Request, b *answer.Buffer) *api.Problem {
-	var linkless time.Time // since when there was no link
+// forwardUntilComplete blocks until the response is complete, ctx is done, or there has been no
+// link for forwardMaxWait. It returns nil if the buffer was finished.
+func (g *Gateway) forwardUntilComplete(ctx context.Context, claims idempotency.Claims, r *request.Request, b *answer.Buffer) *api.Problem {
+	var linkLostAt time.Time // start of the time without a link
 	everSent := false
 	for {
 		if known := g.peers.Incarnation(claims.Issuer); known != 0 && known != uint64(claims.Incarnation) {
-			return forAttempt(issuerGone(), everSent)
+			return withAttemptOutcome(issuerGone(), everSent)
 		}
 		sent, err := g.peers.Forward(ctx, claims.Issuer, r, b)
 		if err == nil {
 			return nil
 		}
 		everSent = everSent || sent
-		if sent || linkless.IsZero() {
-			linkless = time.Now()
+		if sent || linkLostAt.IsZero() {
+			linkLostAt = time.Now()
 		}
-		if ctx.Err() != nil || time.Since(linkless) > forwardPatience {
-			p := api.LeaveUnknown(api.ReasonIssuerUnreachable, "the instance that issued the key can't be reached (%v); repeat the request with the same key later, or check what it did", err).WithRetryAfter(time.Second)
-			return forAttempt(p, everSent)
+		if ctx.Err() != nil || time.Since(linkLostAt) > forwardMaxWait {
+			p := api.UnknownOutcome(api.ReasonIssuerUnreachable, "the instance that issued the key can't be reached (%v); retry with the same key later, or check what the request did", err).WithRetryAfter(time.Second)
+			return withAttemptOutcome(p, everSent)
 		}
 		if sent {
 			g.o.Metrics.Retried(api.RetryPeerLink)
 		}
-		wait.For(ctx, forwardPause)
+		wait.For(ctx, forwardRetryInterval)
 	}
 }
 
-// forAttempt says that this attempt was not run where nothing was sent.
-func forAttempt(p *api.Problem, sent bool) *api.Problem {
+// withAttemptOutcome adds to p that this attempt was not run, if the request wasn't sent.
+func withAttemptOutcome(p *api.Problem, sent bool) *api.Problem {
 	if sent {
 		return p
 	}
-	return p.ForAttempt()
+	return p.WithAttemptNotRun()
 }
--- a/internal/logs/outcomes.go
+++ b/internal/logs/outcomes.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// served names requests that were answered, beside the reasons of the others.
-const served = "answered"
+// answeredName is the name under which answered requests are counted, which have no reason.
+const answeredName = "answered"
 
-// Outcomes counts how requests ended, by the time at which they arrived and by one of their
-// fields.
+// Outcomes holds the number of requests by arrival time and by the value of a field of their
+// last line, such as the reason.
 type Outcomes struct {
-	// Start is the time of the first step, and Step its length.
+	// Start is the start of the first step, and Step the length of each step.
 	Start time.Time
 	Step  time.Duration
-	// Names are the values of the field, the most frequent first.
+	// Names are the values of the field, most frequent first.
 	Names []string
-	// Counts are by name, one for each step.
+	// Counts holds the number of requests in each step, by name.
 	Counts map[string][]int
 }
 
-// maxSteps bounds what is counted: one wrong date would make a table of years.
+// maxSteps is the maximum number of steps. Without it, a single line with a wrong date would
+// give a table that spans years.
 const maxSteps = 100_000
 
-// OutcomesBy counts the requests that ended, in steps, by a field of their last line; by
-// "reason" those that were answered are a reason, too. The error says that the lines span
-// too many steps.
-func OutcomesBy(lines []Line, field string, step time.Duration) (Outcomes, error) {
+// CountOutcomes counts the requests that ended, by arrival time and by a field of their last
+// line. Requests without a value are counted under "answered". It fails if the lines span more
+// than maxSteps steps.
+func CountOutcomes(lines []Line, field string, step time.Duration) (Outcomes, error) {
 	o := Outcomes{Step: step, Counts: map[string][]int{}}
 	var last time.Time
-	for _, l := range ended(lines) {
-		arrived := arrival(l)
+	for _, l := range endedRequests(lines) {
+		arrived := arrivalTime(l)
 		if o.Start.IsZero() || arrived.Before(o.Start) {
 			o.Start = arrived
 		}
@@ -43,17 +44,17 @@
 	}
 	steps := int(last.Sub(o.Start)/step) + 1
 	if steps > maxSteps {
-		return o, fmt.Errorf("the lines span %v, over %d steps; give a longer step, or fewer lines", last.Sub(o.Start), maxSteps)
+		return o, fmt.Errorf("the lines span %v, which is more than %d steps; use a longer step, or fewer lines", last.Sub(o.Start), maxSteps)
 	}
-	for _, l := range ended(lines) {
+	for _, l := range endedRequests(lines) {
 		name := l.Fields[field]
 		if name == "" {
-			name = served
+			name = answeredName
 		}
 		if o.Counts[name] == nil {
 			o.Counts[name] = make([]int, steps)
 		}
-		o.Counts[name][arrival(l).Sub(o.Start)/step]++
+		o.Counts[name][arrivalTime(l).Sub(o.Start)/step]++
 	}
 	o.Names = slices.SortedFunc(maps.Keys(o.Counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(o.Total(b), o.Total(a)), cmp.Compare(a, b))
@@ -61,7 +62,7 @@
 	return o, nil
 }
 
-// Total returns the requests of one name.
+// Total returns the number of requests with a name.
 func (o Outcomes) Total(name string) (n int) {
 	for _, count := range o.Counts[name] {
 		n += count
@@ -69,7 +70,7 @@
 	return n
 }
 
-func ended(lines []Line) []Line {
+func endedRequests(lines []Line) []Line {
 	var out []Line
 	for _, l := range lines {
 		if l.Event == "request_ended" {
@@ -79,5 +80,5 @@
 	return out
 }
 
-// arrival is when a request that ended had come.
-func arrival(l Line) time.Time { return l.Time.Add(-l.Milliseconds("took")) }
+// arrivalTime returns the arrival time of a request from its last line.
+func arrivalTime(l Line) time.Time { return l.Time.Add(-l.Milliseconds("took")) }
--- a/internal/pause/gate.go
+++ b/internal/pause/gate.go
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// Gate makes work wait, after a pause, until what the process believed before
-// has been read anew. Safe for concurrent use.
+// Gate blocks work after a pause until the state of the process has been refreshed. It is safe for
+// concurrent use.
 type Gate struct {
-	// Detector notices the pauses.
+	// Detector detects the pauses.
 	Detector *Detector
-	// Refresh reads anew; it is called once for each pause.
+	// Refresh reads the state again. It is called once for each pause, and must return when ctx is
+	// done.
 	Refresh func(ctx context.Context)
-	// Patience bounds a refresh; afterwards serving goes on with what is known.
-	Patience time.Duration
+	// RefreshTimeout bounds a refresh. After it, serving continues with the known state.
+	RefreshTimeout time.Duration
 
-	mu    sync.Mutex
-	epoch uint64
+	mu         sync.Mutex
+	generation uint64
 }
 
-// Pass returns at once unless there was a pause since the last refresh.
-func (g *Gate) Pass(ctx context.Context) {
-	epoch := g.Detector.Epoch()
+// EnsureFresh returns at once unless there was a pause since the last refresh. After a pause, it
+// blocks until a refresh has ended.
+func (g *Gate) EnsureFresh(ctx context.Context) {
+	generation := g.Detector.Generation()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.epoch >= epoch {
+	if g.generation >= generation {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, g.Patience)
+	ctx, cancel := context.WithTimeout(ctx, g.RefreshTimeout)
 	defer cancel()
 	g.Refresh(ctx)
-	g.epoch = epoch
+	g.generation = generation
 }
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -10,7 +10,7 @@
 	"github.com/tacktally/tacktally/internal/ratelimit"
 )
 
-// ErrNoReply reports that a peer didn't reply in time.
+// ErrNoReply means that a peer didn't reply in time.
 var ErrNoReply = errors.New("peer did not reply in time")
 
 // slotFrames bounds the frames that wait on the stream of one slot: the notice that the request is
@@ -41,8 +41,8 @@
 	Segments       []PromptSegment `cbor:"13,keyasint,omitempty"`
 	// Bytes is the size of the request's body, which is kept while it waits.
 	Bytes int `cbor:"14,keyasint,omitempty"`
-	// Exclude is an upstream that already failed the request.
-	Exclude string `cbor:"15,keyasint,omitempty"`
+	// FailedUpstream is an upstream that already failed the request.
+	FailedUpstream string `cbor:"15,keyasint,omitempty"`
 	// Zone is the availability zone in which the request arrived.
 	Zone string `cbor:"16,keyasint,omitempty"`
 	// Restricted requests run only in these Regions.
@@ -50,8 +50,8 @@
 	Regions    []string `cbor:"18,keyasint,omitempty"`
 	// Digest of the request's content, the same for each attempt.
 	Digest uint64 `cbor:"19,keyasint,omitempty"`
-	// Unavailable are the IDs of upstreams to which the requester may not send at present.
-	Unavailable []string `cbor:"20,keyasint,omitempty"`
+	// ExcludedUpstreams are the IDs of upstreams to which the requester may not send at present.
+	ExcludedUpstreams []string `cbor:"20,keyasint,omitempty"`
 	// Attempt is what the request is to the retry budget.
 	Attempt AttemptKind `cbor:"21,keyasint,omitempty"`
 	// Limits are the advertised limits that the requester knows of the service's upstreams: a new
@@ -108,7 +108,7 @@
 
 // SlotRelease returns a slot and reports how the request ended at the upstream.
 type SlotRelease struct {
-	// Result is a scheduler.Ending.
+	// Result is a scheduler.Result.
 	Result uint8 `cbor:"1,keyasint"`
 	// Output is the number of output tokens of a complete response.
 	Output int `cbor:"2,keyasint,omitempty"`
@@ -125,10 +125,10 @@
 }
 
 // AcquireSlot requests a slot from a peer and blocks until it grants or refuses one, or ctx ends. A
-// peer that sends nothing within ackWithin has failed; one that replied that the request is queued
+// peer that sends nothing within ackTimeout has failed; one that replied that the request is queued
 // may take longer. An error means that the peer didn't decide.
-func (m *Mesh) AcquireSlot(ctx context.Context, address string, r *SlotRequest, ackWithin time.Duration) (*Slot, *SlotRefusal, error) {
-	ackCtx, cancel := context.WithTimeoutCause(ctx, ackWithin, ErrNoReply)
+func (m *Mesh) AcquireSlot(ctx context.Context, address string, r *SlotRequest, ackTimeout time.Duration) (*Slot, *SlotRefusal, error) {
+	ackCtx, cancel := context.WithTimeoutCause(ctx, ackTimeout, ErrNoReply)
 	defer cancel()
 	l, err := m.ensureLink(ackCtx, address)
 	if err != nil {
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -79,17 +79,17 @@
 func (j *job) run() *api.Problem {
 	ctx, cancel := j.context()
 	defer cancel()
-	exclude := ""
-	ask := peer.FirstAttempt
+	failedUpstream := ""
+	kind := peer.FirstAttempt
 	var last attemptResult
 	connectFailures, unusableGrants := 0, 0
 	for {
 		if problem := j.checkQuarantine(); problem != nil {
 			return j.orUpstreamFailure(j.markPossiblyRun(problem))
 		}
-		l, problem := j.handler.o.Fleet.Acquire(ctx, j.acquireRequest(exclude, ask))
-		if problem == nil || ask == peer.FirstAttempt {
-			ask = peer.RequeuedAttempt
+		g, problem := j.handler.o.Fleet.Acquire(ctx, j.acquireRequest(failedUpstream, kind))
+		if problem == nil || kind == peer.FirstAttempt {
+			kind = peer.RequeuedAttempt
 		}
 		if problem != nil && j.waitForBackoff(ctx, problem) {
 			continue
@@ -100,8 +100,8 @@
 		if problem != nil {
 			return j.orUpstreamFailure(j.markPossiblyRun(j.orBackoffProblem(problem)))
 		}
-		r := j.attempt(ctx, l)
-		j.reportResult(l, r)
+		r := j.attempt(ctx, g)
+		j.reportResult(g, r)
 		switch r.status {
 		case notSent:
 			connectFailures++
@@ -117,37 +117,37 @@
 			return j.finalProblem(r)
 		}
 		if next == retry {
-			ask = peer.RetryAttempt
+			kind = peer.RetryAttempt
 		}
 		last = r
-		exclude = l.Upstream()
+		failedUpstream = g.Upstream()
 		j.handler.o.Metrics.Retried(reason)
 		j.handler.o.Log.Info().Str("event", "retry").Str("request", j.info.ID).Str("reason", string(reason)).
-			Str("upstream", exclude).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("retrying the request")
+			Str("upstream", failedUpstream).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("retrying the request")
 	}
 }
 
-// acquireRequest returns the request for a slot. Exclude is an upstream at which the request
-// failed.
-func (j *job) acquireRequest(exclude string, ask peer.AttemptKind) *fleet.AcquireRequest {
-	return &fleet.AcquireRequest{ID: j.info.ID, Key: j.quarantineKey, Service: j.service, Request: j.schedulerRequest(exclude), Segments: j.info.PromptSegments, Attempt: ask}
+// acquireRequest returns the request for a slot. failedUpstream is the upstream at which the last
+// attempt failed, empty if there was none.
+func (j *job) acquireRequest(failedUpstream string, kind peer.AttemptKind) *fleet.AcquireRequest {
+	return &fleet.AcquireRequest{ID: j.info.ID, Key: j.quarantineKey, Service: j.service, Request: j.schedulerRequest(failedUpstream), Segments: j.info.PromptSegments, Attempt: kind}
 }
 
-func (j *job) schedulerRequest(exclude string) *scheduler.Request {
+func (j *job) schedulerRequest(failedUpstream string) *scheduler.Request {
 	return &scheduler.Request{
 		Rank:             j.rank(),
 		Organisation:     j.organisationName(),
 		Share:            1,
 		Arrived:          j.arrived,
 		Deadline:         j.deadline,
-		MaxWait:          j.maxWait(exclude != ""),
+		MaxWait:          j.maxWait(failedUpstream != ""),
 		LatencyObjective: j.route.LatencyObjective,
 		AllowLate:        true,
 		PromptTokens:     j.info.PromptTokens,
 		MaxOutput:        j.info.MaxOutputTokens,
 		ExpectedOutput:   j.info.ExpectedOutputTokens,
 		Bytes:            len(j.body),
-		FailedUpstream:   exclude,
+		FailedUpstream:   failedUpstream,
 		RegionConstraint: scheduler.RegionConstraint(routing.RegionConstraintOf(j.route, j.organisation)),
 	}
 }
@@ -213,16 +213,16 @@
 }
 
 // reportResult reports the result of an attempt to the scheduler and releases the slot.
-func (j *job) reportResult(l fleet.Grant, r attemptResult) {
+func (j *job) reportResult(g fleet.Grant, r attemptResult) {
 	output := 0
 	if r.status == completed {
 		output = j.outputTokens()
 	}
-	l.End(schedulerResultOf(r.status, j.status), output)
+	g.End(schedulerResultOf(r.status, j.status), output)
 	j.recordCrashEvidence(r)
 	if r.status != completed {
-		j.handler.o.Log.Info().Str("event", "attempt_failed").Str("request", j.info.ID).Str("key", j.quarantineKey.String()).Int("events", j.events).Str("upstream", l.Upstream()).
-			Str("owner", l.Owner()).Int64("owner_list", l.ListVersion()).Int64("list", j.versions.own).Dur("list_age", j.versions.age).Str("status", r.status.String()).Str("cause", fmt.Sprint(r.err)).Msg("attempt did not complete")
+		j.handler.o.Log.Info().Str("event", "attempt_failed").Str("request", j.info.ID).Str("key", j.quarantineKey.String()).Int("events", j.events).Str("upstream", g.Upstream()).
+			Str("owner", g.Owner()).Int64("owner_list", g.ListVersion()).Int64("list", j.versions.own).Dur("list_age", j.versions.age).Str("status", r.status.String()).Str("cause", fmt.Sprint(r.err)).Msg("attempt did not complete")
 	}
 }
 
@@ -256,17 +256,17 @@
 	case notRun, misdirected:
 		return j.markPossiblyRun(api.Refuse(api.ReasonUpstreamRefused, "the upstream refused the request (%v); retry after the given time", r.err).WithRetryAfter(j.retryAfter()))
 	case upstreamFailed:
-		return api.LeaveUnknown(api.ReasonUpstreamLost, "the upstream responded with a failure: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamLost, "the upstream responded with a failure: %v", r.err)
 	case invalidResponse:
-		return api.LeaveUnknown(api.ReasonUpstreamGarbage, "the upstream's response is invalid: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamGarbage, "the upstream's response is invalid: %v", r.err)
 	case truncated:
-		return api.LeaveUnknown(api.ReasonUpstreamCut, "the upstream's response was truncated: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamCut, "the upstream's response was truncated: %v", r.err)
 	case callerDisconnected:
-		return api.LeaveUnknown(api.ReasonCallerGone, "the caller closed the connection")
+		return api.UnknownOutcome(api.ReasonCallerGone, "the caller closed the connection")
 	case deadlineExceeded:
-		return api.LeaveUnknown(api.ReasonUpstreamTimeout, "the deadline passed while an upstream was processing the request")
+		return api.UnknownOutcome(api.ReasonUpstreamTimeout, "the deadline passed while an upstream was processing the request")
 	default:
-		return api.LeaveUnknown(api.ReasonUpstreamLost, "the connection failed after the request was sent: %v", r.err)
+		return api.UnknownOutcome(api.ReasonUpstreamLost, "the connection failed after the request was sent: %v", r.err)
 	}
 }
 
@@ -276,9 +276,9 @@
 	case p.Outcome != api.NotRun || !j.mayHaveRun:
 		return p
 	case p.Reason == api.ReasonDeadlineExpired:
-		return api.LeaveUnknown(api.ReasonUpstreamTimeout, "an earlier attempt may have run: %s", p.Detail)
+		return api.UnknownOutcome(api.ReasonUpstreamTimeout, "an earlier attempt may have run: %s", p.Detail)
 	default:
-		return api.LeaveUnknown(api.ReasonUpstreamLost, "an earlier attempt may have run: %s", p.Detail)
+		return api.UnknownOutcome(api.ReasonUpstreamLost, "an earlier attempt may have run: %s", p.Detail)
 	}
 }
 
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// MaxBackoff bounds the backoff that an upstream may request; a longer one is taken for a mistake.
+	// MaxBackoff bounds the backoff that an upstream may request; more than a day is taken for a mistake.
 	MaxBackoff = 24 * time.Hour
 	// probeTimeout is how long the first request after a backoff may stay unanswered before another one is
 	// let through.
@@ -27,7 +27,7 @@
 // ErrBackingOff means that the upstream has requested a backoff from this instance.
 var ErrBackingOff = errors.New("the upstream has requested a backoff from this instance")
 
-// Backoffs holds the requested backoffs, by upstream. Safe for concurrent use.
+// Backoffs holds the requested backoffs, by upstream. It is safe for concurrent use.
 type Backoffs struct {
 	mu         sync.Mutex
 	byUpstream map[string]*backoff
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -2,10 +2,10 @@
 // refused.
 //
 // Core schedules the requests of one set of upstreams. It is a state machine without goroutines,
-// timers or I/O: each method takes the current time and returns the decisions to carry out. The
-// daemon drives it with the wall clock, the experiments with virtual time. Engines admit requests
-// in order of arrival, so requests wait in the scheduler's queue and an engine is sent only as many
-// as keep it busy.
+// timers or I/O: each method takes the current time and returns the decisions to carry out. Package
+// pool drives it with the wall clock, the experiments with virtual time. Engines admit requests in
+// order of arrival, so requests wait in the scheduler's queue and an engine is sent only as many as
+// keep it busy.
 //
 // A Core is not safe for concurrent use.
 package scheduler
@@ -21,7 +21,7 @@
 	"github.com/tacktally/tacktally/internal/queue"
 )
 
-// Options configures a Core.
+// Options configure a Core.
 type Options struct {
 	// Picker selects the upstream of a request.
 	Picker balancer.Picker
@@ -91,16 +91,16 @@
 	probabilitiesAt time.Time
 }
 
-// RegionConstraint restricts a request to Regions if Bound is set. Otherwise it may run in any
+// RegionConstraint restricts a request to Regions if Restricted is set. Otherwise it may run in any
 // region.
 type RegionConstraint struct {
-	Bound   bool
-	Regions []string
+	Restricted bool
+	Regions    []string
 }
 
 // allow reports whether a request may run in a region.
-func (h RegionConstraint) allow(region string) bool {
-	return !h.Bound || slices.Contains(h.Regions, region)
+func (c RegionConstraint) allow(region string) bool {
+	return !c.Restricted || slices.Contains(c.Regions, region)
 }
 
 // Grant permits a request to be sent to an upstream now.
@@ -140,16 +140,16 @@
 
 // Core schedules the requests of one set of upstreams.
 type Core struct {
-	options       Options
-	queue         *queue.Queue
-	upstreams     []*balancer.Upstream
-	byID          map[string]*balancer.Upstream // the entries of upstreams by ID
-	instanceLoads map[string]Load               // load of each other instance
-	floor         floor
-	drain         drainRate
-	outputs       outputRatio
-	lengthError   lengthError
-	grantShares   grantShares
+	options     Options
+	queue       *queue.Queue
+	upstreams   []*balancer.Upstream
+	byID        map[string]*balancer.Upstream // the entries of upstreams by ID
+	peerLoads   map[string]Load               // load of each other instance
+	floor       floor
+	drain       drainRate
+	outputs     outputRatio
+	lengthError lengthError
+	grantShares grantShares
 	// backfillAllowance is the slot time that backfill may use now.
 	backfillAllowance time.Duration
 	coldStart         ColdStart
@@ -162,7 +162,7 @@
 // New returns a Core without upstreams.
 func New(o Options) *Core {
 	o.MinRetryAfter = cmp.Or(o.MinRetryAfter, minRetryAfter)
-	return &Core{options: o, byID: map[string]*balancer.Upstream{}, queue: queue.New(o.Limits), instanceLoads: map[string]Load{}, outputs: newOutputRatio(), lengthError: newLengthError(), grantShares: grantShares{}}
+	return &Core{options: o, byID: map[string]*balancer.Upstream{}, queue: queue.New(o.Limits), peerLoads: map[string]Load{}, outputs: newOutputRatio(), lengthError: newLengthError(), grantShares: grantShares{}}
 }
 
 // Upstreams returns the upstreams. The caller must not modify the slice.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -71,9 +71,9 @@
 	is := is.New(t)
 	c := newCore(100)
 	c.SetMembers([]Member{{ID: "u", Address: "a", Slots: 10}})
-	c.SetInstanceLoad("p", Load{Running: map[string]int{"u": 7, "other": 9}})
+	c.SetPeerLoad("p", Load{Running: map[string]int{"u": 7, "other": 9}})
 	is.Equal(len(fillUpstreams(c)), 3)
-	c.SetInstanceLoad("p", Load{})
+	c.SetPeerLoad("p", Load{})
 	is.Equal(len(c.Poll(start).Grants), 1) // the one that was queued
 }
 
@@ -240,12 +240,12 @@
 	for range 10 {
 		running = append(running, c.Submit(start, newRequest(0, 3600)).Grants[0])
 	}
-	cut := start.Add(time.Second)
+	failedAt := start.Add(time.Second)
 	for _, g := range running {
-		c.RecordFailure(cut, g)
+		c.RecordFailure(failedAt, g)
 	}
-	is.Equal(len(c.Submit(cut, newRequest(0, 3600)).Grants), 0)
-	is.Equal(len(c.Poll(cut.Add(minOpenPeriod)).Grants), 1)
+	is.Equal(len(c.Submit(failedAt, newRequest(0, 3600)).Grants), 0)
+	is.Equal(len(c.Poll(failedAt.Add(minOpenPeriod)).Grants), 1)
 }
 
 // An upstream that has recovered is used again within maxOpenPeriod, however often it failed.
--- a/internal/upstream/resume.go
+++ b/internal/upstream/resume.go
@@ -9,42 +9,41 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrBadResumeToken: a Last-Event-ID that no instance made.
-var ErrBadResumeToken = errors.New("the Last-Event-ID is none of ours; send the id of the last event received, or leave it out to start anew")
+// ErrBadResumeToken: the Last-Event-ID was not issued by an instance.
+var ErrBadResumeToken = errors.New("Last-Event-ID was not issued by this service; send the id of the last event received, or omit it to start a new request")
 
-// ResumeToken names a place in a stream at its engine. It is the id of the
-// server-sent events, so that any instance can resume the stream.
+// ResumeToken is a position in a stream at its engine. It is sent as the ID of server-sent events,
+// so that any instance can resume the stream.
 type ResumeToken struct {
 	Upstream string `cbor:"1,keyasint"`
 	StreamID string `cbor:"2,keyasint"`
 	Events   int    `cbor:"3,keyasint"`
 }
 
-// String encodes the token for an event's id field.
+// String returns the token encoded for the id field of an event.
 func (t ResumeToken) String() string {
 	b, err := cbor.Marshal(t)
 	if err != nil {
-		panic("upstream: a resume token always encodes: " + err.Error())
+		panic("upstream: a resume token must always encode: " + err.Error())
 	}
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// ParseResumeToken decodes a token. The caller must check that the upstream is
-// one it may call.
+// ParseResumeToken decodes a token. The caller must check that the upstream is one it may call.
 func ParseResumeToken(text string) (ResumeToken, error) {
 	var t ResumeToken
 	b, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || cbor.Unmarshal(b, &t) != nil {
 		return t, ErrBadResumeToken
 	}
-	if _, err := netip.ParseAddrPort(t.Upstream); err != nil || !plainID(t.StreamID) || t.Events < 0 {
+	if _, err := netip.ParseAddrPort(t.Upstream); err != nil || !isValidStreamID(t.StreamID) || t.Events < 0 {
 		return t, ErrBadResumeToken
 	}
 	return t, nil
 }
 
-// EventToken returns the token in the id field of an event that an instance
-// relayed.
+// EventToken returns the token in the id field of an event that an instance relayed, and whether it
+// has one.
 func EventToken(event []byte) (ResumeToken, bool) {
 	rest, ok := bytes.CutPrefix(event, []byte("id: "))
 	if !ok {
@@ -55,7 +54,7 @@
 	return t, err == nil
 }
 
-func plainID(id string) bool {
+func isValidStreamID(id string) bool {
 	if id == "" || len(id) > 128 {
 		return false
 	}
--- a/tools/suite/main_test.go
+++ b/tools/suite/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestNamesInAList(t *testing.T) {
+func TestParseNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  string
 		names []string
@@ -20,7 +20,7 @@
 		"a whole group": {"Test.* (go test ./...): fails\n", nil, "begin each line"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			names, err := namesIn(c.list)
+			names, err := parseNames(c.list)
 			if !slices.Equal(names, c.names) {
 				t.Errorf("names %v, want %v", names, c.names)
 			}
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestWhatIsPassedOverIsNamedWhole(t *testing.T) {
+func TestSkippedTestsAreMatchedExactly(t *testing.T) {
 	got := strings.Join(arguments([]string{"TestA", "TestB/4/saying"}, []string{"-count=1"}), " ")
 	if want := "test -race -skip ^TestA$|^TestB$/^4$/^saying$ -count=1 ./... ./tools/..."; got != want {
 		t.Errorf("%q, want %q", got, want)
