--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -202,7 +202,7 @@
 	return errors.Is(err, errPaused) || errors.Is(err, quarantine.ErrQuarantined) || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// retry reports whether the request is sent again, and excludes the failed upstream from the next
+// retry reports whether the request is sent again. An upstream that failed is excluded from the next
 // attempt.
 func (a *attempts) retry(g *scheduler.Grant, result upstream.Result) bool {
 	d := a.dispatcher
@@ -260,7 +260,7 @@
 }
 
 // unused returns the granted tokens that the request didn't use. The tokens used in another zone
-// aren't known here, so a spilled request returns none.
+// aren't known here, so a spilled request that may have run there returns none.
 func (a *attempts) unused(end answer.End) int {
 	switch {
 	case end.Outcome() == api.NotRun:
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -83,7 +83,7 @@
 	for b.Withdraw() {
 		granted++
 	}
-	is.Equal(granted, maxRetryBudget) // savings are bounded
+	is.Equal(granted, maxRetryBudget) // the retries saved up are bounded
 }
 
 // An organisation gets back the granted tokens that its request didn't use.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -72,7 +72,7 @@
 	Log              *log.Logger
 	// ShedLowerAtPeers asks the peers of the zone to shed waiting work of lower tiers than
 	// rank, before work of this rank is shed for lack of capacity. It blocks until no reachable
-	// peer holds lower work. May be nil.
+	// peer holds lower work, for a bounded time. May be nil.
 	ShedLowerAtPeers func(set string, rank int)
 	// Announce sends the pending prompt tokens to the peers at once, after a long prompt was sent
 	// or its prefill ended. It must not block. May be nil.
@@ -358,7 +358,7 @@
 		d.o.Metrics.Refused(end.Problem.Reason)
 		event = event.Str("reason", string(end.Problem.Reason))
 	}
-	event.Msg("request ended")
+	event.Msg("")
 }
 
 // serve resolves the request in the snapshot and makes its attempts.
@@ -423,5 +423,5 @@
 func (d *Dispatcher) recordRetry(r *request.Request, reason api.Reason, cause error) {
 	d.o.Metrics.Retried(reason)
 	d.o.Log.Warn().Str("event", "retry").Str("request", r.ID).Str("reason", string(reason)).
-		Str("cause", fmt.Sprint(cause)).Msg("attempt failed; retrying")
+		Str("cause", fmt.Sprint(cause)).Msg("")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -153,7 +153,7 @@
 func (g *Gateway) refuse(r *request.Request, p *api.Problem) *answer.Buffer {
 	g.o.Metrics.Refused(p.Reason)
 	g.o.Log.Info().Str("event", "request_refused").Str("request", r.ID).Str("organisation", r.Organisation).
-		Str("outcome", string(p.Outcome)).Str("reason", string(p.Reason)).Msg("request refused")
+		Str("outcome", string(p.Outcome)).Str("reason", string(p.Reason)).Msg("")
 	return answer.Refused(p)
 }
 
--- a/internal/upstream/resume.go
+++ b/internal/upstream/resume.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrBadResumeToken: the Last-Event-ID was not issued by an instance.
-var ErrBadResumeToken = errors.New("Last-Event-ID was not issued by this service; send the id of the last event received, or omit it to start a new request")
+// ErrBadResumeToken: the Last-Event-ID wasn't issued by an instance of tacktallyd.
+var ErrBadResumeToken = errors.New("Last-Event-ID was not issued by tacktally; send the id of the last event received, or omit it to start a new request")
 
 // ResumeToken is a position in a stream at its engine. It is sent as the ID of server-sent events,
 // so that any instance can resume the stream.
