--- a/client/client.go
+++ b/client/client.go
@@ -45,7 +45,7 @@
 	MaxAttempts int
 }
 
-// Client sends requests to tacktally. Safe for concurrent use.
+// Client sends requests to tacktally. It is safe for concurrent use.
 type Client struct {
 	o Options
 
--- a/internal/callerapi/server.go
+++ b/internal/callerapi/server.go
@@ -129,8 +129,8 @@
 	out.follow(h.Context(), b)
 }
 
-// hardLimitFactor times callers.maxInFlight requests are decoded at the same time, so that their
-// tiers are known. Requests beyond that are refused without being read.
+// hardLimitFactor is the multiple of callers.maxInFlight up to which requests in flight are decoded,
+// so that their tiers are known. Requests beyond it are refused without being read.
 const hardLimitFactor = 2
 
 func refuseOverloaded(inFlight int) *api.Problem {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -244,7 +244,7 @@
 	operators := operatorapi.New(d, d.holder, d.changes, d.metrics, d.token)
 	servers := d.listeners.serve(d.settings, d.callers, operators, d.mesh)
 	d.log.Info().Str("event", "started").Str("zone", d.settings.Zone).Str("version", Version()).
-		Str("callers", d.CallerAddress()).Str("operators", d.OperatorAddress()).Msg("instance started")
+		Str("callers", d.CallerAddress()).Str("operators", d.OperatorAddress()).Msg("")
 	select {
 	case <-ctx.Done():
 	case <-d.drained:
@@ -257,7 +257,7 @@
 	d.upstreams.Close()
 	d.platform.Close()
 	background.Wait()
-	d.log.Info().Str("event", "stopped").Msg("instance stopped")
+	d.log.Info().Str("event", "stopped").Msg("")
 }
 
 // Drain begins a graceful shutdown.
@@ -301,7 +301,7 @@
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return "", fmt.Errorf("read operators.tokenFile: name a readable file: %w", err)
+		return "", fmt.Errorf("read operators.tokenFile; name a readable file: %w", err)
 	}
 	token := strings.TrimSpace(string(content))
 	if token == "" {
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -51,7 +51,7 @@
 	case accepted:
 		d.changes.Add(d.holder.Current())
 		d.metrics.Count("tacktally_config_accepted_total")
-		d.log.Info().Str("event", "config_accepted").Int64("revision", revision).Str("from", from).Msg("accepted a configuration")
+		d.log.Info().Str("event", "config_accepted").Int64("revision", revision).Str("from", from).Msg("")
 		d.followCaches()
 		d.mesh.Announce() // peers that can't reach the platform fetch it at once
 	}
@@ -120,8 +120,8 @@
 	peersTimeout = time.Second
 )
 
-// fetchFromPeers fetches the state of the peers before the configuration is read from the platform,
-// which may be stale.
+// fetchFromPeers fetches the state of the peers. It is called before the configuration is read from
+// the platform, whose copy may be stale.
 func (d *Daemon) fetchFromPeers(ctx context.Context) {
 	select {
 	case <-d.instances.first:
--- a/internal/orders/reconciler.go
+++ b/internal/orders/reconciler.go
@@ -193,7 +193,7 @@
 			return err
 		}
 		r.metrics.Count("tacktally_orders_total")
-		r.log.Info().Str("event", "ordered").Str("engine", address).Str("kind", string(o.Kind)).Str("name", o.Name).Str("version", o.Version).Int64("revision", revision).Msg("order sent to engine")
+		r.log.Info().Str("event", "ordered").Str("engine", address).Str("kind", string(o.Kind)).Str("name", o.Name).Str("version", o.Version).Int64("revision", revision).Msg("")
 	}
 	return nil
 }
--- a/internal/request/decode.go
+++ b/internal/request/decode.go
@@ -124,7 +124,7 @@
 	}
 	r.Key = h.Header.Get(api.HeaderIdempotencyKey)
 	if len(r.Key) > idempotency.MaxKeyLength {
-		return api.Refuse(api.ReasonKeyInvalid, "%s has %d characters; use at most %d", api.HeaderIdempotencyKey, len(r.Key), idempotency.MaxKeyLength)
+		return api.Refuse(api.ReasonKeyInvalid, "%s has %d bytes; use at most %d", api.HeaderIdempotencyKey, len(r.Key), idempotency.MaxKeyLength)
 	}
 	attempt, problem := decodeAttempt(h)
 	r.Attempt = attempt
--- a/internal/request/decode_test.go
+++ b/internal/request/decode_test.go
@@ -107,7 +107,7 @@
 	is.Equal(problem.Reason, api.ReasonPromptTooLong)
 }
 
-// The fingerprint depends on what the upstream does, and on nothing else.
+// The fingerprint depends on everything that affects what an upstream does, and on nothing else.
 func TestFingerprintDependsOnContentOnly(t *testing.T) {
 	is := is.New(t)
 	sum := func(path, body string, header ...string) string {
