--- a/api/outcome.go
+++ b/api/outcome.go
@@ -39,7 +39,7 @@
 	ReasonUnknownService Reason = "unknown_service"
 	// ReasonPromptTooLong: the prompt exceeds the engine set's maxPromptTokens. Shorten it.
 	ReasonPromptTooLong Reason = "prompt_too_long"
-	// ReasonDeadlinePast: the deadline had passed when the request arrived. Set a longer timeout.
+	// ReasonDeadlinePast: the timeout given has passed already. Set a longer one.
 	ReasonDeadlinePast Reason = "deadline_past"
 	// ReasonKeyRequired: a non-idempotent request came without an issued key. Send it again with the key in the response.
 	ReasonKeyRequired Reason = "key_required"
@@ -61,11 +61,11 @@
 	ReasonQueueFull Reason = "queue_full"
 	// ReasonDisplaced: the request was removed from the queue to admit work of a higher tier. Retry after the given time.
 	ReasonDisplaced Reason = "displaced_by_higher_tier"
-	// ReasonPredictedLate: the request would miss its deadline because of the work ahead of it. Retry after the given time.
+	// ReasonPredictedLate: the request would not be in time because of the work ahead of it. Retry after the given time.
 	ReasonPredictedLate Reason = "predicted_late"
-	// ReasonDeadlineTooShort: even an idle upstream would answer after the deadline. Allow more time, or send a smaller request.
+	// ReasonDeadlineTooShort: even an idle upstream would answer too late. Allow more time, or send a smaller request.
 	ReasonDeadlineTooShort Reason = "deadline_too_short"
-	// ReasonDeadlineExpired: no upstream had free capacity before the deadline. Retry after the given time.
+	// ReasonDeadlineExpired: no upstream had free capacity in time. Retry after the given time.
 	ReasonDeadlineExpired Reason = "deadline_expired"
 	// ReasonOrganisationLimit: the organisation has used up its tokensPerSecond. Retry after the given time, or raise the limit.
 	ReasonOrganisationLimit Reason = "organisation_limit"
@@ -85,23 +85,23 @@
 
 // Reasons of an unknown outcome.
 const (
-	// ReasonKeyExpired: the key has expired, and its earlier use is no longer recorded. Check what the request did before asking for a new key.
+	// ReasonKeyExpired: the key has expired, and its earlier use is no longer known. Check what the request did before you request a new key.
 	ReasonKeyExpired Reason = "key_expired"
-	// ReasonIssuerGone: the instance that issued the key has ended; the request won't run from now on. Check what it did before sending it under a new key.
+	// ReasonIssuerGone: the instance that issued the key has terminated; the request won't run any more, but may have run. Check what it did before you send it under a new key.
 	ReasonIssuerGone Reason = "issuer_gone"
 	// ReasonIssuerUnreachable: the instance that issued the key can't be reached at present. Retry later with the same key.
 	ReasonIssuerUnreachable Reason = "issuer_unreachable"
 	// ReasonNotFirstAttempt: the request retries a caller-chosen ID that no reachable instance holds. Mark the first attempt, or check what it did and use a new ID.
 	ReasonNotFirstAttempt Reason = "not_first_attempt"
-	// ReasonUpstreamLost: the connection broke after the request was written. Check what it did before sending it under a new key.
+	// ReasonUpstreamLost: the connection failed after the request was written. Check what it did before you send it under a new key.
 	ReasonUpstreamLost Reason = "upstream_lost"
-	// ReasonUpstreamCut: the upstream ended its response early. Resume with Last-Event-ID, or check what the request did.
+	// ReasonUpstreamCut: the upstream's response was truncated. Resume with Last-Event-ID, or check what the request did.
 	ReasonUpstreamCut Reason = "upstream_cut"
 	// ReasonUpstreamGarbage: the upstream's response violates its protocol. Check what the request did, and check the upstream.
 	ReasonUpstreamGarbage Reason = "upstream_garbage"
 	// ReasonUpstreamTimeout: the deadline passed while the upstream was running the request. Allow more time; check what the request did.
 	ReasonUpstreamTimeout Reason = "upstream_timeout"
-	// ReasonAnswerEvicted: the request was answered, but the response is no longer stored. Look up the result at the service, or raise idempotency.maxAnswerBytes.
+	// ReasonAnswerEvicted: the request was answered, but the response is no longer retained. Look up the result at the service, or raise idempotency.maxAnswerBytes.
 	ReasonAnswerEvicted Reason = "answer_evicted"
 )
 
@@ -113,9 +113,9 @@
 	RetryPaused Reason = "retry_paused"
 	// RetryUpstreamBusy: an upstream refused the request for lack of capacity; another upstream was tried.
 	RetryUpstreamBusy Reason = "retry_upstream_busy"
-	// RetryUpstreamLost: the connection broke during an idempotent request; another upstream was tried.
+	// RetryUpstreamLost: the connection failed during an idempotent request; another upstream was tried.
 	RetryUpstreamLost Reason = "retry_upstream_lost"
-	// RetryPeerLink: the link to the issuer of a key broke; the request was sent again on a new link.
+	// RetryPeerLink: the link to the issuer of a key failed; the request was sent again on a new link.
 	RetryPeerLink Reason = "retry_peer_link"
 	// RetryUpstreamSilent: an upstream did not start its response in time, or stopped sending for too long; another upstream was tried.
 	RetryUpstreamSilent Reason = "retry_upstream_silent"
@@ -123,7 +123,7 @@
 	RetryOtherZone Reason = "retry_other_zone"
 	// RetryUpstreamFailed: an upstream answered an idempotent request with an error of its own; another upstream was tried.
 	RetryUpstreamFailed Reason = "retry_upstream_failed"
-	// RetryResume: a broken stream was resumed at its engine.
+	// RetryResume: a truncated stream was resumed at its engine.
 	RetryResume Reason = "retry_stream_resumed"
 )
 
--- a/api/resources.go
+++ b/api/resources.go
@@ -99,7 +99,7 @@
 	Rank int `json:"rank"`
 	// TimeoutMillis is the timeout of a request that sets none, in milliseconds; 1 to 3,600,000.
 	TimeoutMillis int `json:"timeoutMillis"`
-	// FirstTokenMillis is the target for the time to the first token, in milliseconds. Default 0: no target.
+	// FirstTokenMillis is the longest time to the first token that counts as in time, in milliseconds. Default 0: no limit.
 	FirstTokenMillis int `json:"firstTokenMillis,omitzero"`
 }
 
