--- a/client/client.go
+++ b/client/client.go
@@ -23,7 +23,7 @@
 	"github.com/tacktally/tacktally/internal/wait"
 )
 
-// Defaults.
+// Defaults of Options.
 const (
 	DefaultKeysInHand  = 8
 	DefaultMaxAttempts = 4
@@ -31,11 +31,11 @@
 	defaultRetryDelay = 200 * time.Millisecond
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
-	// URL of the balancer or of an instance. Required.
+	// URL is the base URL of a load balancer or of an instance. Required.
 	URL string
-	// APIKey of the organisation. Required.
+	// APIKey is an API key of the organisation. Required.
 	APIKey string
 	// HTTP is the HTTP client to use. Default: a new one.
 	HTTP *http.Client
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -39,20 +39,20 @@
 // Attempts under keys, in virtual time.
 func TestKeyIsDispatchedOnceAndRetriesJoin(t *testing.T) {
 	type step struct {
-		wait    time.Duration
-		key     string
-		org     string
-		sum     byte
-		first   bool
-		reason  api.Reason
-		finish  string       // body written to the response
-		problem *api.Problem // end of the response, after finish
+		wait        time.Duration
+		key         string
+		org         string
+		fingerprint byte
+		first       bool
+		reason      api.Reason
+		finish      string       // body written to the response
+		problem     *api.Problem // end of the response, after finish
 	}
 	refused := api.Refuse(api.ReasonQueueFull, "full")
 	for name, steps := range map[string][]step{
 		"a retry joins": {{key: "a", first: true}, {key: "a"}},
 		"a retry after the end gets the response":   {{key: "a", first: true, finish: "1234"}, {key: "a"}},
-		"another body is refused":                   {{key: "a", first: true}, {key: "a", sum: 1, reason: api.ReasonKeyMismatch}},
+		"another body is refused":                   {{key: "a", first: true}, {key: "a", fingerprint: 1, reason: api.ReasonKeyMismatch}},
 		"another organisation is refused":           {{key: "a", first: true, finish: "1234"}, {key: "a", org: "x", reason: api.ReasonKeyMismatch}},
 		"a refused key stays refused":               {{key: "a", first: true, problem: refused}, {key: "a"}},
 		"an expired key never runs":                 {{wait: time.Minute, key: "a", reason: api.ReasonKeyExpired}},
@@ -67,7 +67,7 @@
 				r := NewRegistry(limits, NewClock())
 				for _, s := range steps {
 					<-time.After(s.wait) // virtual time
-					b, first, problem := r.Begin(Use{Key: s.key, Organisation: "o" + s.org, Fingerprint: Fingerprint{s.sum}, Expiry: limits.Lifetime})
+					b, first, problem := r.Begin(Use{Key: s.key, Organisation: "o" + s.org, Fingerprint: Fingerprint{s.fingerprint}, Expiry: limits.Lifetime})
 					if s.reason != "" {
 						is.Equal(problem.Reason, s.reason)
 						continue
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -51,7 +51,7 @@
 type Claims struct {
 	// Issuer is the peer address of the issuing instance.
 	Issuer string `cbor:"1,keyasint"`
-	// Incarnation of the issuing process.
+	// Incarnation is the incarnation of the issuing process.
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	// Organisation is the organisation to which the key was issued.
 	Organisation string `cbor:"3,keyasint"`
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -16,8 +16,8 @@
 const (
 	// Threshold is the gap between two signs of life that counts as a pause.
 	Threshold = time.Second
-	// heartbeatInterval is the time between two signs of life of a running process.
-	heartbeatInterval = 100 * time.Millisecond
+	// tickInterval is the time between two signs of life of a running process.
+	tickInterval = 100 * time.Millisecond
 )
 
 // Detector detects pauses. It is safe for concurrent use.
@@ -44,9 +44,9 @@
 	return d.generation
 }
 
-// Run gives a sign of life in each heartbeatInterval, until ctx is done.
+// Run gives a sign of life in each tickInterval, until ctx is done.
 func (d *Detector) Run(ctx context.Context) {
-	t := time.NewTicker(heartbeatInterval)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -67,10 +67,10 @@
 	return &request.Request{ID: "req-1", Kind: request.Chat, Model: "m", Stream: stream, Body: []byte(`{}`)}
 }
 
-func do(t *testing.T, c *Client, address string, r *request.Request, guard func() error) (Result, *answer.Buffer) {
+func do(t *testing.T, c *Client, address string, r *request.Request, beforeWrite func() error) (Result, *answer.Buffer) {
 	t.Helper()
 	b := answer.New(true)
-	res := c.Do(t.Context(), Call{Address: address, Request: r, BeforeWrite: guard, OnFirstOutput: func() {}}, b)
+	res := c.Do(t.Context(), Call{Address: address, Request: r, BeforeWrite: beforeWrite, OnFirstOutput: func() {}}, b)
 	return res, b
 }
 
