--- a/internal/callerapi/server.go
+++ b/internal/callerapi/server.go
@@ -59,7 +59,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, h *http.Request) { s.mux.ServeHTTP(w, h) }
 
 func (s *Server) unknownPath(w http.ResponseWriter, h *http.Request) {
-	p := api.Refuse(api.ReasonInvalidRequest, "%s %s isn't a call of this API; see /v1/chat/completions, /v1/completions, /v1/models, /v1/idempotency-keys and /services/NAME/", h.Method, h.URL.Path)
+	p := api.Refuse(api.ReasonInvalidRequest, "%s %s is no call of this API; see /v1/chat/completions, /v1/completions, /v1/models, /v1/idempotency-keys and /services/NAME/", h.Method, h.URL.Path)
 	p.Status = http.StatusNotFound
 	s.refuse(w, h, request.NewID(), p)
 }
