--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -11,11 +11,11 @@
 )
 
 // TCP listens on a TCP address. The error names the setting that holds the address. A connection
-// whose peer has disappeared is closed within keepalive.UnreadAfter.
+// whose peer has disappeared is closed within keepalive.AcceptedDeadAfter.
 func TCP(setting, address string) (net.Listener, error) {
 	l, err := (&net.ListenConfig{KeepAliveConfig: keepalive.Config()}).Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen on %s %s; free the address or choose another: %w", setting, address, err)
+		return nil, fmt.Errorf("%s %s can't be listened on; free the address or choose another: %w", setting, address, err)
 	}
 	return keepalive.Listener(l), nil
 }
