--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,7 +42,7 @@
 	Peers Peers `json:"peers"`
 	// Platform is the service from which the configuration and the instance list are read.
 	Platform Platform `json:"platform"`
-	// Idempotency limits the register of idempotency keys.
+	// Idempotency limits the registry of idempotency keys.
 	Idempotency Idempotency `json:"idempotency"`
 	// Queue limits the requests that wait.
 	Queue Queue `json:"queue"`
@@ -112,7 +112,7 @@
 	// KeyFile is the PEM file with the private key of the certificate. Required.
 	KeyFile string `json:"keyFile"`
 	// ClientCAFile is the PEM file with the CA that must have signed the certificates of clients.
-	// Default: clients need no certificate.
+	// Required in peers.tls. Default: clients need no certificate.
 	ClientCAFile string `json:"clientCAFile,omitzero"`
 }
 
@@ -131,7 +131,7 @@
 	MaxListAge Duration `json:"maxListAge,omitzero"`
 }
 
-// Idempotency limits the register of idempotency keys.
+// Idempotency limits the registry of idempotency keys.
 type Idempotency struct {
 	// KeyLifetime is how long an issued key is valid. Default 10m.
 	KeyLifetime Duration `json:"keyLifetime,omitzero"`
@@ -206,8 +206,8 @@
 	// accepted; "serve" serves them by the newest known configuration, so that an outage of the
 	// store causes no refusals. Default "refuse".
 	StaleKeys StaleKeys `json:"staleKeys,omitzero"`
-	// LeaveWithin is the time within which an upstream must get no new requests after its leaving
-	// was published. Default 2s.
+	// LeaveWithin is the time from the publication of an upstream's leaving after which it must get
+	// no new requests. Default 2s.
 	LeaveWithin Duration `json:"leaveWithin,omitzero"`
 	// ProveEvery is the interval between reads that confirm the configuration and the list of
 	// upstreams. Each read renews the lease, and finds changes that another connection failed to
@@ -246,8 +246,8 @@
 	// to regions; upstreams of a zone without a region serve only unrestricted requests.
 	// Default: none.
 	Regions map[string]string `json:"regions,omitzero"`
-	// EvacuateWithin is the time within which the upstreams of an availability zone must get no new
-	// requests after its evacuation was published. Default 5s.
+	// EvacuateWithin is the time from the publication of an availability zone's evacuation after
+	// which the upstreams of the zone must get no new requests. Default 5s.
 	EvacuateWithin Duration `json:"evacuateWithin,omitzero"`
 	// ColdOverage limits the requests that a cold upstream gets from all instances in any second:
 	// to this multiple of the cold-start rate of its service, plus coldSlack. Any upstream
@@ -267,7 +267,7 @@
 	// for others more often. Default 1.
 	Cores float64 `json:"cores,omitzero"`
 	// MaxFiles is the maximum number of file descriptors of the process. 200 are reserved for
-	// files; callers' connections may use 0.6 of the rest. Beyond that, idle connections are
+	// other uses; callers' connections may use 0.6 of the rest. Beyond that, idle connections are
 	// closed to admit new ones. Default 4096.
 	MaxFiles int `json:"maxFiles,omitzero"`
 	// MemoryMB is the memory of the process, in MiB. The garbage collector runs more often once
