--- a/internal/certificates/certificates.go
+++ b/internal/certificates/certificates.go
@@ -72,7 +72,7 @@
 func (r *reloader) load() error {
 	certificate, err := tls.LoadX509KeyPair(r.paths.CertificateFile, r.paths.KeyFile)
 	if err != nil {
-		return fmt.Errorf("load certificate %s; give a matching certificate and key: %w", r.paths.CertificateFile, err)
+		return fmt.Errorf("certificate %s can't be loaded; give a matching certificate and key: %w", r.paths.CertificateFile, err)
 	}
 	pool, err := loadPool(r.paths.ClientCAFile)
 	if err != nil {
@@ -90,11 +90,11 @@
 	}
 	content, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("read clientCAFile; name a readable file: %w", err)
+		return nil, fmt.Errorf("clientCAFile can't be read; name a readable file: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, fmt.Errorf("clientCAFile %s contains no certificate; give one in PEM", name)
+		return nil, fmt.Errorf("clientCAFile %s contains no certificate; give a file with certificates in PEM", name)
 	}
 	return pool, nil
 }
