--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -66,7 +66,7 @@
 		"valid":           {"table", `{"Version":7,` + services + `,"Routes":[` + route + `]}`, ExitDone, "accepted: version 7, 1 routes to app, desk"},
 		"as JSON":         {"json", `{"Version":7,` + services + `,"Routes":[` + route + `]}`, ExitDone, `{"version":7,"routes":1,"services":["app","desk"]}`},
 		"unknown service": {"table", `{"Version":7,"Routes":[` + route + `]}`, ExitFailed, "app"},
-		"not a document":  {"table", `{`, ExitFailed, "decode the configuration"},
+		"not a document":  {"table", `{`, ExitFailed, "the configuration can't be decoded; publish one that decodes"},
 		"unknown kind":    {"table", `{` + services + `,"Routes":[` + strings.Replace(route, `"Kind":1`, `"Kind":9`, 1) + `]}`, ExitFailed, "kind"},
 		"no timeout":      {"table", `{` + services + `,"Routes":[` + strings.Replace(route, `1000000000`, `0`, 1) + `]}`, ExitFailed, "timeout"},
 	} {
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -187,7 +187,7 @@
 		}
 		var e watch.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return fmt.Errorf("decode a change from the instance; use the same version of tacktally: %w", err)
+			return fmt.Errorf("a change from the instance can't be decoded; use the same version of tacktally: %w", err)
 		}
 		fmt.Fprintf(c.session.out, "%d\t%s\t%s\t%s\n", e.Revision, e.Type, e.Kind, e.Name)
 	}
@@ -237,7 +237,7 @@
 func (c *validateCommand) routed(content []byte) error {
 	document, err := c.session.platform.Decode(content)
 	if err != nil {
-		return fmt.Errorf("decode the configuration: %w", err)
+		return fmt.Errorf("the configuration can't be decoded; publish one that decodes: %w", err)
 	}
 	table, err := routing.Build(document)
 	if err != nil {
