--- a/internal/slopes/measurements.go
+++ b/internal/slopes/measurements.go
@@ -326,8 +326,8 @@
 	})
 }
 
-// newRegister returns an idempotency register with space for 2n keys.
-func newRegister(n int) *idempotency.Registry {
+// newRegistry returns an idempotency registry with space for 2n keys.
+func newRegistry(n int) *idempotency.Registry {
 	return idempotency.NewRegistry(idempotency.Limits{Lifetime: time.Hour, MaxEntries: 2 * n, MaxAnswerBytes: 1 << 40}, idempotency.NewClock())
 }
 
@@ -343,7 +343,7 @@
 func keyMemory() Slope {
 	return measure("key in use, without its answer", "bytes", "key", keySizes, func(n int) float64 {
 		return memoryOf(func() any {
-			r := newRegister(n)
+			r := newRegistry(n)
 			for i := range n {
 				useKey(r, i)
 			}
@@ -354,7 +354,7 @@
 
 func keyTime() Slope {
 	return measure("issuing and verifying a key", "µs", "key in use", keySizes, func(n int) float64 {
-		r := newRegister(n)
+		r := newRegistry(n)
 		for i := range n {
 			useKey(r, i)
 		}
