--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -72,7 +72,7 @@
 }
 
 // An upstream leaves. One instance receives the change; another still sends a request to it.
-func TestTraceShowsWhenInstancesLearnedThatUpstreamLeft(t *testing.T) {
+func TestTraceShowsWhenInstancesStoppedUsingUpstream(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(`time=2026-02-03T12:00:01.000Z instance=a event=upstreams version=4 changed="u ready, v ready" from=source
 time=2026-02-03T12:00:02.000Z instance=b event=upstreams version=5 changed="u leaving" from=source
