--- a/internal/faults/crashes_test.go
+++ b/internal/faults/crashes_test.go
@@ -34,9 +34,9 @@
 }
 
 // A request that crashes each upstream that runs it is quarantined, although the caller sends it again to
-// any instance, each time with a new ID or key. This is the fault of the incident of crashing requests,
-// here at the HTTP API of the instances themselves.
-func TestRequestThatCrashesUpstreamsIsQuarantinedAtOwnAPI(t *testing.T) {
+// any instance, each time with a new ID or key. This applies to the API of package callerapi as it does to
+// routed requests.
+func TestRequestThatCrashesUpstreamsIsQuarantinedAtCallerAPI(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, "fort", "fort")
--- a/internal/faults/random_test.go
+++ b/internal/faults/random_test.go
@@ -20,7 +20,7 @@
 )
 
 // Callers send and retry requests through every instance while random faults are injected and healed; the
-// history must satisfy the guarantees. -random-runs sets the number of runs.
+// history must satisfy the guarantees. CI makes the default number of runs, -random-runs sets another.
 func TestRandomConcurrentRuns(t *testing.T) {
 	for n := range *randomRuns {
 		seed := *randomSeed + uint64(n)
