--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -77,7 +77,7 @@
 	}{
 		{"get", "List resources with their status", "Lists the resources of a kind (Organisation, Tier, EngineSet, Service), or shows one of them.", &getCommand{session: s}},
 		{"watch", "Follow changes to resources", "Prints each change as it comes into force at the addressed instance.", &watchCommand{session: s}},
-		{"validate", "Validate a document without publishing it", "Reports whether instances would accept a document, with all faults and their remedies. With --routed, the document is validated without an instance.", &validateCommand{session: s}},
+		{"validate", "Validate a document without publishing it", "Reports how every instance would decide about a document, with all faults and their remedies. With --routed, the document is validated without an instance.", &validateCommand{session: s}},
 		{"explain", "Explain how a request would be served", "Explains how the addressed instance would serve a request now.", &explainCommand{session: s}},
 		{"status", "Show an instance and its peers", "Shows the addressed instance: its revision, peers, keys and whether it is draining.", &statusCommand{session: s}},
 		{"drain", "Begin a graceful shutdown", "Makes the addressed instance refuse new requests, finish those in progress, and exit.", &drainCommand{session: s}},
@@ -86,7 +86,7 @@
 		{"outcomes", "Count the outcomes of requests in logs", "Counts the outcomes of requests over time from the logs of instances, by reason, route, organisation, service or instance, and prints a table and a plot.", &outcomesCommand{session: s}},
 		{"places", "Show evacuated zones and cold upstreams", "Shows the evacuated availability zones and the cold upstreams that instances for routed requests know, and the number of their requests in each zone. A zone is empty once no instance has requests there.", &placesCommand{session: s}},
 		{"experiment", "Measure the scheduling policy", "Simulates the scheduling policy and the baselines in virtual time, and prints goodput by tier and wasted prefill.", &experimentCommand{session: s}},
-		{"slopes", "Measure how costs grow with sizes", "Measures on this machine the growth rates from which docs/CAPACITY.md is computed. Takes about half a minute.", &slopesCommand{session: s}},
+		{"slopes", "Measure how costs grow with sizes", "Measures on this machine the slopes from which docs/CAPACITY.md derives the capacity. Takes about half a minute.", &slopesCommand{session: s}},
 		{"demo", "Run an instance with fake services and traffic", "Runs an instance, a fake platform, engines of different speeds and a plain service in one process on loopback, and sends traffic of three tiers.", &demoCommand{session: s}},
 	} {
 		if _, err := p.AddCommand(c.name, c.short, c.long, c.command); err != nil {
--- a/tools/docgen/main.go
+++ b/tools/docgen/main.go
@@ -36,7 +36,7 @@
 	{
 		path:   "docs/RESOURCES.md",
 		title:  "Resources",
-		intro:  "Operators publish all resources as one JSON document of at most 1 MB at the\nplatform's configuration service, under increasing revisions. `tacktally validate`\nreports whether instances would accept a document; `examples/document.json` is an\nexample. A document with any fault is rejected as a whole, and the configuration in\nforce stays.",
+		intro:  "Operators publish all resources as one JSON document of at most 1 MB at the\nplatform's configuration service, under increasing revisions. `tacktally validate`\nreports how every instance would decide about a document; `examples/document.json` is an\nexample. A document with any fault is rejected as a whole, and the configuration in\nforce stays.",
 		source: "api/resources.go",
 		root:   "Document",
 	},
