--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -125,15 +125,15 @@
 	// creditThreshold is the number of bytes read after which credit is sent. The sender still has
 	// the rest of the window meanwhile.
 	creditThreshold = window / 4
-	// minCharge is the least that a piece counts against the window, so that many small pieces
+	// minCharge is the least that a chunk counts against the window, so that many small chunks
 	// can't fill an inbox.
 	minCharge = 256
-	// inboxFrames holds a whole window of the smallest pieces, the head and the end, so that a slow
+	// inboxFrames holds a whole window of the smallest chunks, the head and the end, so that a slow
 	// reader of one stream never blocks the link.
 	inboxFrames = window/minCharge + 8
 )
 
-// charge returns how much a piece of the given size counts against the window.
+// charge returns how many bytes a chunk of the given size counts against the window.
 func charge(bytes int) int { return max(bytes, minCharge) }
 
 func newLink(ctx context.Context, conn *websocket.Conn) *link {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 	"github.com/tacktally/tacktally/internal/request"
 )
 
-// handler is a Handler whose responses depend on the request: it echoes the body in pieces, and
+// handler is a Handler whose responses depend on the request: it echoes the body in chunks, and
 // holds a request for the path /held.
 type handler struct {
 	hold   chan struct{}
@@ -46,8 +46,8 @@
 			}
 		}
 		b.Start(answer.Head{Status: 200})
-		for _, piece := range strings.SplitAfter(string(r.Body), ";") {
-			_ = b.Write(ctx, []byte(piece))
+		for _, chunk := range strings.SplitAfter(string(r.Body), ";") {
+			_ = b.Write(ctx, []byte(chunk))
 		}
 		b.Finish(answer.End{})
 	}()
@@ -172,7 +172,7 @@
 	}
 }
 
-// Concurrent responses on one link, larger than the window and in many small pieces, each reach
+// Concurrent responses on one link, larger than the window and in many small chunks, each reach
 // their own request completely.
 func TestForwardKeepsConcurrentResponsesApart(t *testing.T) {
 	is := is.New(t)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -136,7 +136,7 @@
 // WaitEndedProblem returns the problem for a request whose context ended while it waited.
 func WaitEndedProblem(ctx context.Context) *api.Problem {
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		return api.Refuse(api.ReasonDeadlineExpired, "the deadline passed while the request waited; come back later or allow more time").WithRetryAfter(time.Second)
+		return api.Refuse(api.ReasonDeadlineExpired, "the deadline passed while the request waited; retry later or allow more time").WithRetryAfter(time.Second)
 	}
 	return api.Refuse(api.ReasonCallerGone, "the caller closed the connection while the request waited")
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -123,7 +123,7 @@
 		failedUpstream = g.Upstream()
 		j.handler.o.Metrics.Retried(reason)
 		j.handler.o.Log.Info().Str("event", "retry").Str("request", j.info.ID).Str("reason", string(reason)).
-			Str("upstream", failedUpstream).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("retrying the request")
+			Str("upstream", failedUpstream).Int("attempts", j.attempts).Str("after", j.lastEventID).Str("cause", fmt.Sprint(r.err)).Msg("")
 	}
 }
 
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -339,7 +339,7 @@
 	event.Str("route", route).Str("outcome", string(outcome)).Int("status", j.status).Int("attempts", j.attempts).
 		Str("upstream", j.upstream).Str("owner", j.owner).Int64("owner_list", j.versions.owner).Int64("list", j.versions.own).
 		Dur("list_age", j.versions.age).Int("prompt", j.info.PromptTokens).Dur("timeout", j.info.Timeout).Dur("sent_after", j.sentAfter).Dur("first_after", j.firstAfter).
-		Int("events", j.events).Dur("took", took).Msg("request ended")
+		Int("events", j.events).Dur("took", took).Msg("")
 	h.o.Metrics.Ended(j.kind(), outcome, took)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -69,7 +69,7 @@
 	MaxHeaderBytes int `json:"maxHeaderBytes,omitzero"`
 	// ReadTimeout is the time within which a caller must send its whole request. Default 15s.
 	ReadTimeout Duration `json:"readTimeout,omitzero"`
-	// WriteTimeout is the time within which a caller must accept each piece of a response. Default 30s.
+	// WriteTimeout is the time within which a caller must accept each chunk of a response. Default 30s.
 	WriteTimeout Duration `json:"writeTimeout,omitzero"`
 	// MaxInFlight is the maximum number of requests in progress. At the limit, a new request
 	// displaces a waiting one of a lower tier, or is refused. Default 4096.
