--- a/internal/cacheevents/cacheevents.go
+++ b/internal/cacheevents/cacheevents.go
@@ -30,9 +30,11 @@
 	timeoutMargin = 5 * time.Second
 	// minPollInterval is the time between two calls to the same engine.
 	minPollInterval = 100 * time.Millisecond
-	firstBackoff    = time.Second
-	maxBackoff      = time.Minute
-	maxBytes        = 4 << 20
+	// The delay after a failed call grows from firstBackoff to maxBackoff.
+	firstBackoff = time.Second
+	maxBackoff   = time.Minute
+	// maxBatchBytes bounds the response to one call.
+	maxBatchBytes = 4 << 20
 )
 
 // Event is a change of an engine's cache. Blocks are prefix hashes as in package prefix.
@@ -163,5 +165,5 @@
 	if response.StatusCode != http.StatusOK {
 		return b, fmt.Errorf("poll cache events of engine %s: status %s", address, response.Status)
 	}
-	return b, json.UnmarshalRead(http.MaxBytesReader(nil, response.Body, maxBytes), &b)
+	return b, json.UnmarshalRead(http.MaxBytesReader(nil, response.Body, maxBatchBytes), &b)
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -215,7 +215,7 @@
 	for _, d := range s.Document.Services {
 		svc := &Service{
 			Name:         d.Metadata.Name,
-			MaxBodyBytes: cmp.Or(d.Spec.MaxBodyBytes, defaultServiceBody),
+			MaxBodyBytes: cmp.Or(d.Spec.MaxBodyBytes, defaultServiceBodyBytes),
 			CostTokens:   cmp.Or(d.Spec.CostTokens, 1),
 		}
 		for _, text := range d.Spec.NonIdempotent {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,19 +11,19 @@
 
 // Limits of a document.
 const (
-	maxTimeoutMillis   = 3_600_000
-	maxServiceBody     = 64 << 20
-	maxTokensPerPrompt = 10_000_000
-	maxTiers           = 32
-	maxPrefillWeight   = 20
-	defaultServiceBody = 1 << 20
+	maxTimeoutMillis        = 3_600_000
+	maxServiceBodyBytes     = 64 << 20
+	maxTokensPerPrompt      = 10_000_000
+	maxTiers                = 32
+	maxPrefillWeight        = 20
+	defaultServiceBodyBytes = 1 << 20
 )
 
 var modelPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$`)
 
 const (
 	maxNameLength = 63
-	hashLength    = 64
+	hashDigits    = 64
 )
 
 // isName reports whether text is a valid name of a resource. It doesn't use a regular
@@ -43,7 +43,7 @@
 
 // isHash reports whether text is a SHA-256 hash in lower-case hex.
 func isHash(text string) bool {
-	if len(text) != hashLength {
+	if len(text) != hashDigits {
 		return false
 	}
 	for i := range len(text) {
@@ -234,7 +234,7 @@
 	for i, s := range services {
 		path := fmt.Sprintf("/services/%d", i)
 		v.name(func() string { return path }, s.Metadata.Name, seen)
-		v.inRange(path+"/spec/maxBodyBytes", s.Spec.MaxBodyBytes, 0, maxServiceBody, "bytes")
+		v.inRange(path+"/spec/maxBodyBytes", s.Spec.MaxBodyBytes, 0, maxServiceBodyBytes, "bytes")
 		v.inRange(path+"/spec/costTokens", s.Spec.CostTokens, 0, maxTokensPerPrompt, "tokens")
 		for j, call := range s.Spec.NonIdempotent {
 			if _, err := parseCall(call); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -279,6 +279,7 @@
 	s.shutDownCallers(ctx)
 }
 
+// idlePollInterval is how often a daemon that shuts down checks whether requests are in flight.
 const idlePollInterval = 10 * time.Millisecond
 
 // waitIdle blocks until no request is in flight or ctx is done.
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -14,9 +14,13 @@
 )
 
 const (
+	// readHeaderTimeout is how long a client may take to send the header of a request.
 	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 2 * time.Minute
-	operatorMaxHeader = 16 << 10
+	// idleTimeout is how long an idle connection is kept.
+	idleTimeout = 2 * time.Minute
+	// maxHeaderBytes bounds the header of a request of an operator or a peer; that of callers is a
+	// setting.
+	maxHeaderBytes = 16 << 10
 )
 
 // listeners are the listeners of a daemon for callers, operators and peers.
@@ -70,8 +74,8 @@
 	peers.Handle(peer.Path, mesh)
 	out := &servers{
 		callers:   newServer(callers, s.Callers.MaxHeaderBytes),
-		operators: newServer(operators, operatorMaxHeader),
-		peers:     newServer(peers, operatorMaxHeader),
+		operators: newServer(operators, maxHeaderBytes),
+		peers:     newServer(peers, maxHeaderBytes),
 	}
 	go out.callers.Serve(l.callers)     //nolint:errcheck // ends with close
 	go out.operators.Serve(l.operators) //nolint:errcheck // ends with close
--- a/internal/estimate/speed.go
+++ b/internal/estimate/speed.go
@@ -18,9 +18,9 @@
 	initialPrefill = 4000
 	// initialInterval is the time assumed between output tokens.
 	initialInterval = 30 * time.Millisecond
-	// minSpeed and maxSpeed bound the estimated prefill rate, in tokens per second.
-	minSpeed = 20
-	maxSpeed = 5_000_000
+	// minPrefill and maxPrefill bound the estimated prefill rate, in tokens per second.
+	minPrefill = 20
+	maxPrefill = 5_000_000
 	// fastGain is the weight of each of the first observations, slowGain that of later ones.
 	fastGain = 0.5
 	slowGain = 0.15
@@ -94,7 +94,7 @@
 // Adopt replaces the estimates with those of another instance, which has more observations.
 func (s *Speed) Adopt(r Rates) {
 	if r.Prefill > 0 {
-		s.prefill = clamp(r.Prefill, minSpeed, maxSpeed)
+		s.prefill = clamp(r.Prefill, minPrefill, maxPrefill)
 		s.bestPrefill = max(s.bestPrefill, s.prefill)
 		s.prefillObservations = max(s.prefillObservations, fastObservations)
 	}
@@ -129,7 +129,7 @@
 	}
 	predicted := s.PredictFirstToken(tokens).Seconds()
 	ratio := clamp(predicted/took.Seconds(), 1/maxStep, maxStep)
-	s.prefill = clamp(s.prefill*math.Pow(ratio, s.gain(&s.prefillObservations)), minSpeed, maxSpeed)
+	s.prefill = clamp(s.prefill*math.Pow(ratio, s.gain(&s.prefillObservations)), minPrefill, maxPrefill)
 	s.bestPrefill = max(s.bestPrefill, s.prefill)
 }
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// maxLine is the maximum length of a line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line, in bytes.
+const maxLineBytes = 1 << 20
 
 // Line is a line of a log.
 type Line struct {
@@ -41,7 +41,7 @@
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if l, ok := parse(scanner.Text()); ok {
 			out = append(out, l)
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -79,6 +79,7 @@
 }
 
 const (
+	// dialTimeout bounds one dial. The delay after a failed dial grows from firstRedial to maxRedial.
 	dialTimeout = 2 * time.Second
 	firstRedial = 50 * time.Millisecond
 	maxRedial   = 2 * time.Second
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -27,8 +27,8 @@
 	// refusedBodyLinger is how long a connection whose body was refused unread stays open, so that
 	// the response arrives before the reset.
 	refusedBodyLinger = 500 * time.Millisecond
-	// defaultMaxBody bounds a body, in bytes, if the configuration sets no limit.
-	defaultMaxBody = 4 << 20
+	// defaultMaxBodyBytes bounds a body, in bytes, if the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
 	// responseMargin is how long before its timeout a request is given up, so that the response
 	// still reaches the caller in time.
 	responseMargin = 20 * time.Millisecond
@@ -223,7 +223,7 @@
 func (j *job) readBody() *api.Problem {
 	limit := j.table.Limits.MaxBodyBytes
 	if limit == 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	control := http.NewResponseController(j.w)
 	if j.request.ContentLength > limit {
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -402,8 +402,10 @@
 type outputRatio struct{ ratio float64 }
 
 const (
+	// initialOutputRatio is the share assumed until responses have been observed.
 	initialOutputRatio = 0.5
-	outputRatioGain    = 0.05
+	// outputRatioGain is the weight of one response.
+	outputRatioGain = 0.05
 )
 
 func newOutputRatio() outputRatio { return outputRatio{ratio: initialOutputRatio} }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -38,10 +38,13 @@
 )
 
 const (
+	// maxResponseBytes bounds the body of a model's response that is not streamed.
 	maxResponseBytes = 16 << 20
-	chunkBytes       = 4 << 10
-	maxIdlePerHost   = 64
-	idleConnTimeout  = 90 * time.Second
+	// chunkBytes is the size of the read buffer for a response.
+	chunkBytes = 4 << 10
+	// maxIdlePerHost and idleConnTimeout bound the idle connections to one upstream.
+	maxIdlePerHost  = 64
+	idleConnTimeout = 90 * time.Second
 )
 
 // Status is how a call ended.
@@ -279,7 +282,7 @@
 	return s
 }
 
-// CancelStream requests an engine to stop a stream of an organisation. Errors are ignored: the only
+// CancelStream asks an engine to stop a stream of an organisation. Errors are ignored: the only
 // effect of a failure is that the engine runs the stream to its end.
 func (c *Client) CancelStream(ctx context.Context, address, streamID, organisation string) {
 	h, err := sling.New().Base("http://"+address).Delete("/v1/streams/"+streamID).Set(HeaderOwner, organisation).Request()
