--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -161,8 +161,8 @@
 // cancelTimeout bounds the call that cancels a stream.
 const cancelTimeout = 2 * time.Second
 
-// cancelStream stops a run whose deadline has passed, since its response is of no use. The run of a
-// caller that disconnected isn't cancelled, since the caller may resume it.
+// cancelStream stops a run whose deadline has passed, since its response is no longer useful. The
+// run of a caller that disconnected isn't cancelled, since the caller may resume it.
 func (a *attempts) cancelStream(address, stream string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 const (
 	// prefixIndexBlocks bounds the prefix blocks remembered per engine.
 	prefixIndexBlocks = 2048
-	// initialRetryBudget lets an instance with little traffic retry now and then.
+	// initialRetryBudget lets an instance with little traffic retry occasionally.
 	initialRetryBudget = 5
 	// maxRetryBudget bounds the retries that can be saved up.
 	maxRetryBudget = 100
--- a/internal/fleet/backoffs.go
+++ b/internal/fleet/backoffs.go
@@ -48,7 +48,7 @@
 func (f *Fleet) RecordNoResponse(id string) { f.backoffs.ReleaseClaim(id) }
 
 // excludedUpstreams returns the listed upstreams that this instance won't send to. They are part of each
-// slot request, since the owner would go on granting them otherwise.
+// slot request, since the owner would otherwise keep granting them.
 func (f *Fleet) excludedUpstreams() []string {
 	out := f.backoffs.BackingOff(time.Now())
 	f.mu.Lock()
--- a/internal/peer/fetch.go
+++ b/internal/peer/fetch.go
@@ -65,7 +65,7 @@
 }
 
 // maxFetchPeers bounds the peers that FetchAny queries in a sparse mesh. Only peers that read the
-// source may have newer state; a few others are queried in case those are cut off from the source.
+// source may have newer state; a few others are queried in case those can't reach the source.
 // Each replies with a whole configuration.
 const maxFetchPeers = 8
 
--- a/internal/peer/slots.go
+++ b/internal/peer/slots.go
@@ -195,7 +195,7 @@
 func (s *Slot) Lost() bool { return s.link.ctx.Err() != nil }
 
 // sendAsync sends a frame without blocking. It may not drop one, or the peer would count the slot
-// as taken for ever.
+// as taken indefinitely.
 func (s *Slot) sendAsync(f *Frame) {
 	if s.link.trySend(f) {
 		return
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -24,7 +24,7 @@
 	// Burst is the capacity of the bucket.
 	Burst float64
 	// Debt is how far a grant may take the bucket below zero, so that a large request isn't
-	// refused for ever. It is paid off before anything else is granted.
+	// refused indefinitely. It is paid off before anything else is granted.
 	Debt float64
 	// Reserve is what a grant has to leave in the bucket for requests of a higher tier; at most
 	// half of the burst applies.
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -99,7 +99,7 @@
 	return changed
 }
 
-// noLimit stands for the end of a limit in logs and in peer messages.
+// noLimit is the value in logs and peer messages for a limit that has ended.
 const noLimit = -1
 
 // encode returns a limit as it is written in logs and peer messages.
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -369,7 +369,7 @@
 	}
 }
 
-// holdToken blocks while Faults.HoldToken does. It reports whether the stream goes on.
+// holdToken blocks while Faults.HoldToken does. It reports whether the stream continues.
 func (e *Server) holdToken(ctx context.Context) bool {
 	hold := e.currentFaults().HoldToken
 	if hold == nil {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -65,7 +65,7 @@
 // SetDown sets whether every call fails, including those that wait.
 func (s *Service) SetDown(down bool) { s.update(func() { s.down = down }) }
 
-// FreezeList makes the service go on serving the current list, whatever SetInstances publishes later.
+// FreezeList makes the service keep serving the current list, whatever SetInstances publishes later.
 func (s *Service) FreezeList() {
 	s.update(func() {
 		frozen := s.list
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -22,7 +22,7 @@
 	relayed atomic.Int64 // bytes
 
 	mu          sync.Mutex
-	partitioned map[string]bool // by source IP; "" stands for all
+	partitioned map[string]bool // by source IP; "" means all
 	conns       map[*pair]bool
 }
 
@@ -60,7 +60,7 @@
 // RelayedBytes returns the number of bytes relayed in both directions.
 func (r *Relay) RelayedBytes() int64 { return r.relayed.Load() }
 
-// Partition stops relaying for connections from the source IP; "" stands for all.
+// Partition stops relaying for connections from the source IP; "" means all.
 func (r *Relay) Partition(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/view/recheck.go
+++ b/internal/view/recheck.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// beginRecheck returns an upstream's entry, and whether it is to be read again.
+// beginRecheck returns an upstream's entry, and whether it must be read again now.
 func (v *View) beginRecheck(id string) (known Upstream, due bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/view/roster.go
+++ b/internal/view/roster.go
@@ -284,7 +284,7 @@
 	}
 }
 
-// nextSettle returns when the next missing upstream is to be dropped, if there is one.
+// nextSettle returns when the next missing upstream must be dropped, if there is one.
 func (r *roster) nextSettle() (time.Time, bool) {
 	if len(r.missing) == 0 {
 		return time.Time{}, false
