--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -102,7 +102,7 @@
 // UninformedOwners returns the owners of shards in which this instance runs requests that they haven't
 // granted: by its own grants, from before it knew them or while it couldn't reach them, or by those of an
 // owner that is no longer connected. These owners count such requests by heartbeats alone, and until the
-// next one they take slots for occupied that have become free.
+// next one they count slots as occupied that have become free.
 func (f *Fleet) UninformedOwners() []string {
 	f.mu.Lock()
 	lost := f.shardsWith(scheduler.Load{Running: f.peerGrants.lost()})
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,6 +1,6 @@
 // Package membership tracks which instances a fleet has, which of them are reachable, and with which
-// of them one instance keeps links. It does no network I/O: the peer package reports the state of
-// links and the updates received from peers to it, and opens the links that it asks for.
+// of them one instance keeps links. It does no network I/O: package peer reports to it the state of
+// links and the updates that peers send, and opens the links that Overlay.WantedLinks returns.
 //
 // The strongest few instances of each availability zone are its hubs. Each instance computes them on
 // its own from the members it knows. All instances of a zone link to its hubs, and the hubs of all
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -14,7 +14,7 @@
 	return !e.Draining && (recently || t.isReachable(now, e))
 }
 
-// candidates are the members of a zone from which its hubs are taken: those that are reachable,
+// candidates are the members of a zone from which its hubs are selected: those that are reachable,
 // those that recently were, and all.
 type candidates struct{ reachable, recent, known ranking }
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -61,7 +61,7 @@
 }
 
 // maxPastIncarnations is how many previous incarnations of an address are remembered: records of them
-// may be delayed for as long as a process stands still.
+// may be delayed for as long as a process is paused.
 const maxPastIncarnations = 4
 
 // entry is what a table knows of one member.
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -118,7 +118,7 @@
 }
 
 // ZoneRank returns how many reachable instances of its zone precede this instance in the order by
-// which hubs are taken.
+// which hubs are selected.
 func (o *Overlay) ZoneRank(now time.Time) int {
 	own := rankedOf(&o.self)
 	before := 0
@@ -240,7 +240,7 @@
 // ReconnectCandidate returns a random unreachable address to be tried, so that the parts of a fleet
 // find each other again after a partition. Only hubs try, one address at a time; an instance that has
 // lost all others of its zone is a hub by its own computation.
-func (o *Overlay) ReconnectCandidate(now time.Time) (address string, some bool) {
+func (o *Overlay) ReconnectCandidate(now time.Time) (address string, found bool) {
 	if !o.IsHub(now) {
 		return "", false
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// HubsPerZone is the number of hubs of an availability zone: one may be lost and one stand still
+	// HubsPerZone is the number of hubs of an availability zone: one may be lost and one paused
 	// while the third still attests the zone's instances.
 	HubsPerZone = 3
 	// bootstrapPeriod is how long an instance from a Bootstrap update counts as reachable before any
@@ -138,8 +138,8 @@
 	}
 }
 
-// Tick drops held sources that have expired, and forgets members that have not been attested for
-// forgetAfter.
+// Tick drops the updates of lost hubs that were held for holdPeriod, and forgets members that have
+// not been attested for forgetAfter.
 func (t *Table) Tick(now time.Time) {
 	t.dropHeldSources(now, false)
 	t.forget(now)
@@ -159,7 +159,8 @@
 	}
 }
 
-// Merge merges an update from a peer. An Indirect one replaces held sources.
+// Merge merges an update from a peer. An Indirect one also replaces the updates of lost hubs that are
+// still held, see holdPeriod.
 func (t *Table) Merge(now time.Time, from string, update *Update) {
 	if update.Kind == Bootstrap {
 		t.mergeBootstrap(now, update.Records)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -133,7 +133,7 @@
 	// ColdStart is how long an upstream is cold after its start; 0 where it never is.
 	ColdStart time.Duration
 	// ColdStartRate is the number of requests per second that a cold upstream can
-	// serve; it crashes at rates well above.
+	// serve; it crashes at rates well above that.
 	ColdStartRate float64
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -215,8 +215,8 @@
 	// leaveWithin, at most 1.5s.
 	ProveEvery Duration `json:"proveEvery,omitzero"`
 	// InForce is the time within which a published configuration must be in force. While the
-	// configuration is older, a request is not refused for an entry that it lacks, but asked to
-	// retry. Default 2s.
+	// configuration is older, a request is not refused for an entry that it lacks; its caller is
+	// asked to retry. Default 2s.
 	InForce Duration `json:"inForce,omitzero"`
 	// Settle is the time, after the store has become reachable again, in which upstreams whose
 	// entries lapsed during the outage may register again. Default 2s.
--- a/internal/view/checksums.go
+++ b/internal/view/checksums.go
@@ -13,7 +13,7 @@
 const chunkCount = 64
 
 // Checksums are checksums of a list's content, by chunk: equal lists have equal checksums. Missing
-// upstreams don't count, since each instance drops them at a time of its own.
+// upstreams don't count, since each instance drops them at a different time.
 type Checksums [chunkCount]uint64
 
 // rosterChecksums are the checksums of a roster, updated with each change.
--- a/internal/view/evacuations.go
+++ b/internal/view/evacuations.go
@@ -37,7 +37,7 @@
 	return slices.Compact(slices.Sorted(slices.Values(zones)))
 }
 
-// ZoneChange is the begin or the end of one availability zone's evacuation.
+// ZoneChange is the beginning or the end of one availability zone's evacuation.
 type ZoneChange struct {
 	Zone      string
 	Evacuated bool
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -44,7 +44,7 @@
 	// revision. It is called before SetConfiguration with the same read, so that an instance that has
 	// a configuration knows the evacuations as of the same time.
 	SetEvacuations(zones []string, revision int64)
-	// ApplyZoneChanges applies the begins and ends of evacuations since, in order, up to a revision.
+	// ApplyZoneChanges applies the beginnings and ends of evacuations since, in order, up to a revision.
 	ApplyZoneChanges(changes []ZoneChange, revision int64)
 	// SourceReached and SourceUnreachable report whether the source responds.
 	SourceReached()
@@ -164,7 +164,7 @@
 	Content  []byte
 }
 
-// New returns a View that knows nothing.
+// New returns a View without a configuration, upstreams or evacuations.
 func New(o Options) *View {
 	if o.Now == nil {
 		o.Now = boottime.Now
