--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -22,9 +22,9 @@
 }
 
 // Quotas limits what each organisation uses over all instances. One instance, computed in the same way as
-// the owner of a shard, keeps the organisation's bucket, and the others request tokens from it. On the
-// sides of a network partition each side has an owner, which grants the share of its side. It is
-// safe for concurrent use.
+// the owner of a shard, keeps the organisation's bucket, and the others request tokens from it. In a
+// network partition each side has an owner, which grants the share of its side. It is safe for concurrent
+// use.
 type Quotas struct {
 	limiter        *quota.Limiter
 	startupLimiter *quota.Limiter // used until this instance has settled
@@ -90,8 +90,8 @@
 	return shardKey{service: "buckets of organisations", index: group, settledOnly: true}
 }
 
-// reserveFactor times its own tokens, for each rank below the first, is what a request has to leave in
-// the bucket of its organisation for more important requests. While the organisation exceeds its quota,
+// reserveFactor determines what a request has to leave in the bucket of its organisation for more
+// important requests: reserveFactor times its own tokens for each rank below the first. While the organisation exceeds its quota,
 // requests of the first rank still get tokens, and so do small requests of other ranks.
 const reserveFactor = 4
 
@@ -114,7 +114,7 @@
 		case err == nil:
 			return nil, reply.Wait
 		case ctx.Err() != nil:
-			return nil, ShortRetryAfter // the caller has gone away
+			return nil, ShortRetryAfter // the caller has disconnected
 		}
 		q.fleet.markUnresponsive(owner, id, err)
 	}
--- a/internal/membership/simulated_test.go
+++ b/internal/membership/simulated_test.go
@@ -167,7 +167,7 @@
 	}
 	i.overlay.Tick(s.now)
 	want := i.overlay.WantedLinks(s.now)
-	if candidate, some := i.overlay.ReconnectCandidate(s.now); some {
+	if candidate, found := i.overlay.ReconnectCandidate(s.now); found {
 		want = append(want, candidate)
 	}
 	for _, other := range want {
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -102,7 +102,7 @@
 	}
 	if now.Sub(m.sparse.lastProbe) >= probeInterval {
 		m.sparse.lastProbe = now
-		if address, some := overlay.ReconnectCandidate(now); some {
+		if address, found := overlay.ReconnectCandidate(now); found {
 			m.startDial(now, address)
 		}
 	}
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -110,8 +110,8 @@
 			continue
 		}
 		for k, s := range c.suspects {
-			at, some := last[k]
-			if s == responding && some && c.at.Sub(at) < simultaneousWindow {
+			at, found := last[k]
+			if s == responding && found && c.at.Sub(at) < simultaneousWindow {
 				continue
 			}
 			score[k] += int(s)
--- a/internal/view/upstreams.go
+++ b/internal/view/upstreams.go
@@ -111,7 +111,7 @@
 	now := v.o.Now()
 	version := r.version
 	f(r, now)
-	if next, some := r.nextSettle(); some {
+	if next, found := r.nextSettle(); found {
 		v.scheduleSettle(next)
 	}
 	if version > 0 && EpochOf(r.version) > EpochOf(version) {
