--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -91,8 +91,9 @@
 }
 
 // reserveFactor determines what a request has to leave in the bucket of its organisation for more
-// important requests: reserveFactor times its own tokens for each rank below the first. While the organisation exceeds its quota,
-// requests of the first rank still get tokens, and so do small requests of other ranks.
+// important requests: reserveFactor times its own tokens for each rank below the first. While the
+// organisation exceeds its quota, requests of the first rank still get tokens, and so do small requests
+// of other ranks.
 const reserveFactor = 4
 
 // reserve returns how many tokens a request has to leave in the bucket.
