--- a/internal/view/changes.go
+++ b/internal/view/changes.go
@@ -127,7 +127,7 @@
 	return now.Sub(r.asOf)
 }
 
-// changeRecord is an upstream that an update has concerned.
+// changeRecord records that an update concerned an upstream.
 type changeRecord struct {
 	id      string
 	version int64 // of the list after the update
@@ -136,9 +136,9 @@
 // minChanges is the number of recent changes that are always kept.
 const minChanges = 256
 
-// logChange appends an upstream to the change log, at the current version of the list. The oldest
-// records are dropped once there are more than twice as many as upstreams: the whole list is then
-// smaller.
+// logChange appends an upstream to the change log, at the current version of the list. Once there are
+// more than twice as many records as upstreams, and more than twice minChanges, the oldest are
+// dropped: the whole list is then smaller than the changes.
 func (r *roster) logChange(id string) {
 	r.changes = append(r.changes, changeRecord{id, r.version})
 	if keep := max(len(r.entries), minChanges); len(r.changes) > 2*keep {
--- a/internal/view/departures.go
+++ b/internal/view/departures.go
@@ -10,9 +10,9 @@
 // write after some seconds without a response.
 const departureRetention = 30 * time.Second
 
-// departures are the last entries of removed upstreams that older lists may still contain: those
-// that announced that they leave, those whose entry was read on its own, and those whose removal the
-// source has lost.
+// departures are the last entries of removed upstreams. Older lists may still contain an upstream
+// that announced that it leaves, or whose entry was read on its own; a source that was restored from
+// an older copy may have lost the removal of any upstream.
 type departures struct {
 	by     map[string]departure // by ID
 	pruned time.Time
@@ -20,7 +20,7 @@
 
 type departure struct {
 	last Upstream
-	// isLast reports that the entry was known to be the upstream's last one.
+	// isLast reports whether the entry was known to be the upstream's last one.
 	isLast bool
 	// epoch in which the upstream was removed: an earlier copy of the source may list it again in a
 	// later epoch.
--- a/internal/view/list.go
+++ b/internal/view/list.go
@@ -16,7 +16,7 @@
 	// the changes since a version.
 	Chunks    []int
 	Upstreams []Upstream
-	// Removed are the IDs of upstreams that have left the list since.
+	// Removed are the IDs of upstreams that have left the list after version Since.
 	Removed []string
 	// Missing are those of Upstreams that lapsed around an outage of the source, by ID, with the
 	// time in which they may still come back.
--- a/internal/view/roster.go
+++ b/internal/view/roster.go
@@ -238,7 +238,7 @@
 	return r.remove(now, id)
 }
 
-// remove removes an entry, keeps it as departed, and reports whether it was listed.
+// remove removes an entry, records it as a departure, and reports whether it was listed.
 func (r *roster) remove(now time.Time, id string) (changed bool) {
 	u, listed := r.entries[id]
 	if listed {
@@ -256,7 +256,7 @@
 	delete(r.cold, id)
 }
 
-// dropExpired drops the upstreams that have been missing for too long. They aren't kept as departed:
+// dropExpired drops the missing upstreams whose time to come back has passed. They aren't departures:
 // no change has reported them as removed, so they may come back at any time.
 func (r *roster) dropExpired(now time.Time) (gone int) {
 	for id, until := range r.missing {
--- a/internal/view/upstreams.go
+++ b/internal/view/upstreams.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// dropExpired drops the upstreams that have been missing for too long.
+// dropExpired drops the missing upstreams whose time to come back has passed.
 func (v *View) dropExpired() {
 	v.updateList("settled", func(r *roster, now time.Time) { r.dropExpired(now) })
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -22,7 +22,8 @@
 	// Decode decodes a published configuration into a document.
 	Decode(content []byte) (*routing.Document, error)
 	// ReadEntry reads the published entry of one upstream. It blocks, for a bounded time. For an
-	// invalid entry it returns a change that is marked Unreadable, along with the error.
+	// invalid entry, one that can't be decoded into a usable upstream, it returns a change that is
+	// marked Unreadable, along with the error.
 	ReadEntry(ctx context.Context, id string) (Change, error)
 }
 
@@ -49,7 +50,7 @@
 	// SourceReached and SourceUnreachable report whether the source responds.
 	SourceReached()
 	SourceUnreachable(reading string, err error)
-	// ReportMalformed reports a published entry that is invalid and left out.
+	// ReportMalformed reports an invalid entry, which is left out of the list.
 	ReportMalformed(err error)
 	// ReportListRead reports the read of a whole list, for the log.
 	ReportListRead(r ListRead)
@@ -67,9 +68,10 @@
 	Took time.Duration
 }
 
-// Upstream is one process that runs requests. A restarted process is another upstream.
+// Upstream is the published entry of one process that runs requests; the list has one entry per ID. A
+// restarted process is another upstream: it has another ID, or the same ID and another Incarnation.
 type Upstream struct {
-	// ID identifies one start of the process.
+	// ID identifies the entry, and together with Incarnation one start of the process.
 	ID string `cbor:"1,keyasint"`
 	// Service that it belongs to.
 	Service string `cbor:"2,keyasint"`
@@ -83,13 +85,14 @@
 	Leaving bool `cbor:"6,keyasint,omitempty"`
 	// Revision of its entry; higher is newer.
 	Revision int64 `cbor:"7,keyasint"`
-	// Incarnation distinguishes processes under one ID: a process that starts again under its ID has
-	// no requests and no state of the previous one. 0 is unknown.
+	// Incarnation distinguishes processes that use one ID one after another; that of a later process
+	// is higher. A process that starts again under its ID has no requests and no state of the
+	// previous one. 0 is unknown.
 	Incarnation int64 `cbor:"8,keyasint,omitempty"`
 	// Sequence counts the entries that one process has written of itself; 0 is unknown.
 	Sequence int64 `cbor:"9,keyasint,omitempty"`
-	// Cold is how much longer it is cold, as of the moment at which the entry, or a list with it, is
-	// passed on.
+	// Cold is the remaining time of its cold start, as of the moment at which the entry, or a list
+	// with it, is passed on.
 	Cold time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
@@ -106,7 +109,7 @@
 type Change struct {
 	// Removed is set when the upstream has left the list; Upstream then has ID and revision only.
 	Removed bool
-	// Unreadable is set when the entry exists but describes no usable upstream.
+	// Unreadable is set when the entry exists but is invalid; Upstream then has ID and revision only.
 	Unreadable bool
 	Upstream   Upstream
 }
@@ -121,8 +124,8 @@
 	// SettlePeriod is the time after an outage of the source in which upstreams that are missing from
 	// the list may come back to it.
 	SettlePeriod time.Duration
-	// LapseAfter is the shortest outage of the source in which entries may lapse though their
-	// upstreams are running.
+	// LapseAfter is the shortest outage of the source in which entries may lapse, that is, expire
+	// because they can't be renewed, though their upstreams are running.
 	LapseAfter time.Duration
 	// OnUpstreams is called with the difference after each change of the list, one call at a time.
 	// The View is locked during the call, so it must not call the View.
@@ -148,13 +151,13 @@
 	table           *routing.Table
 	lastRefused     refusedConfiguration
 	asOf            time.Time
-	uptimeSince     time.Time // since then, no two proofs were LapseAfter or more apart
+	uptimeSince     time.Time // since then, reads that confirmed the configuration were less than LapseAfter apart
 	upstreams       roster
 	evacuations     evacuations
 	settleTimer     *time.Timer // nil until an upstream was missing
 	reachable       bool
 	everReached     bool
-	loggedMalformed map[string]bool      // causes that were logged
+	loggedMalformed map[string]bool      // errors of invalid entries that were logged
 	recheckedAt     map[string]time.Time // when the entries of upstreams that may leave were last read, by ID
 }
 
@@ -301,8 +304,8 @@
 // are ordered by the version that they contain, since a restored source may publish an older one
 // under a newer position; of two with the same version, the one with the later position wins.
 //
-// An older configuration doesn't confirm the one in force, also where it is the newest that the
-// source has: the source may have lost a newer one than both.
+// An older configuration doesn't confirm the one in force, even if it is the newest that the source
+// has: a restored source may have lost one that is newer than both.
 func (v *View) accept(c Configuration, table *routing.Table, asOf time.Time, from string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -419,10 +422,12 @@
 	line.Msg("")
 }
 
-// maxMalformedLogged is the number of malformed entries remembered as logged.
+// maxMalformedLogged is the number of errors of invalid entries that are remembered as logged. All
+// are forgotten when there is one more.
 const maxMalformedLogged = 64
 
-// ReportMalformed implements Sink. Each entry is logged once, however often it is read.
+// ReportMalformed implements Sink. It logs an error once, however often the invalid entry is read, as
+// long as the error is remembered (see maxMalformedLogged).
 func (v *View) ReportMalformed(err error) {
 	v.o.Metrics.Count("tacktally_source_malformed_total")
 	if v.wasLogged(err.Error()) {
@@ -431,7 +436,7 @@
 	v.o.Log.Error().Str("event", "entry_malformed").Str("cause", err.Error()).Msg("the malformed entry is left out; fix the process that registers it")
 }
 
-// wasLogged reports whether a malformed entry was logged before, and records it as logged.
+// wasLogged reports whether the error of an invalid entry was logged before, and records it as logged.
 func (v *View) wasLogged(cause string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
