--- a/internal/quarantine/diagnose.go
+++ b/internal/quarantine/diagnose.go
@@ -17,16 +17,16 @@
 // upstream refuses connections. Several are checked, since some may have terminated too.
 const MaxNeighbours = 5
 
-// recheckDelay is the time between two connection checks: a process doesn't close its connections
-// and its port at the same time.
+// recheckDelay is the time after which an upstream that accepted a connection is checked again: a
+// process that terminates doesn't close its connections and its port at the same time.
 const recheckDelay = 100 * time.Millisecond
 
 // Diagnosis is the result of Diagnose.
 type Diagnosis uint8
 
 const (
-	// Alive: the upstream accepts connections, or the check is no evidence, as in a network
-	// partition without refusals.
+	// Alive: the upstream accepts connections, or the check failed without a refusal, as in a
+	// network partition, and is no evidence of a crash.
 	Alive Diagnosis = iota
 	// Terminated: the upstream's process has terminated.
 	Terminated
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -2,9 +2,10 @@
 // from upstreams for a while.
 //
 // The evidence is crashes: which requests were at an upstream's process when it terminated,
-// identified by their content (Key). A request is believed to be the cause if it was at several
-// crashes that no other request explains as well. A request that was answered by any upstream is
-// not a cause, and a crash with a known cause is no evidence against other requests.
+// identified by their content (Key). A request is believed to be the cause if it was at two crashes
+// that no other request explains as well, or at three crashes; a crash counts half if the response
+// had begun. A request that was answered by any upstream is not a cause, and a crash with a known
+// cause is no evidence against other requests.
 //
 // A Registry holds one instance's evidence. Instances send each other an Update; merging is
 // independent of the order of updates, so that all instances reach the same verdicts without
--- a/internal/quarantine/recent_responses.go
+++ b/internal/quarantine/recent_responses.go
@@ -3,13 +3,15 @@
 import "time"
 
 const (
-	// maxRecentResponses and generationTime bound each of the two generations of recentResponses.
+	// maxRecentResponses, a number of requests, and generationTime bound each of the two
+	// generations of recentResponses.
 	maxRecentResponses = 2048
 	generationTime     = 5 * time.Minute
 )
 
-// recentResponses remembers which requests were answered recently, at least the
-// frequent ones.
+// recentResponses remembers which requests were answered recently. It keeps two generations; when the
+// current one reaches its bounds, the next response begins a new one, and the previous one is dropped.
+// Under load it may therefore forget a request that isn't answered frequently.
 type recentResponses struct {
 	current, previous map[Key]struct{}
 	since             time.Time // start of the current generation
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -17,7 +17,7 @@
 	// loss to count towards the crash.
 	lossWindow = time.Second
 	// settleTime is how long after the last change to its suspects a crash doesn't count towards
-	// the verdict on a sole top suspect: until all instances have reported which requests were
+	// the verdict on a sole top suspect. By then all instances have reported which requests were
 	// there.
 	settleTime = 200 * time.Millisecond
 	// crashRetention is how long a crash is remembered.
@@ -270,8 +270,9 @@
 	return false
 }
 
-// Admit returns how long an arriving request is still quarantined; 0 if it isn't. After a period
-// the instance that owns the request lets one probe through.
+// Admit returns how long an arriving request is still quarantined; 0 if it may run. After a period
+// the instance that owns the request lets one probe through per probeTimeout; for all others Admit
+// returns probeTimeout.
 func (r *Registry) Admit(now time.Time, k Key) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -45,7 +45,8 @@
 }
 
 const (
-	// recentWindow is how long each message repeats a change; older entries are sent round-robin.
+	// recentWindow is how long after a change each message repeats it; older entries are sent
+	// round-robin.
 	recentWindow = 1500 * time.Millisecond
 	// maxRecentCrashes, maxRecentQuarantined and maxRecentCleared bound the recent entries of one
 	// message, and maxOlder the older ones of each kind.
@@ -99,8 +100,9 @@
 	return u
 }
 
-// crashesToSend returns the crashes for the next update. Old crashes are left out, since a peer
-// that has dropped one would add it again. So are crashes without suspects.
+// crashesToSend returns the crashes for the next update. Crashes older than half of crashRetention
+// are left out, since a peer that has dropped one would add it again. So are crashes without
+// suspects.
 func (r *Registry) crashesToSend(now time.Time) []string {
 	recent := maps.Clone(r.crashes)
 	maps.DeleteFunc(recent, func(_ string, c *crash) bool { return len(c.suspects) == 0 || now.Sub(c.at) > crashRetention/2 })
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -97,9 +97,9 @@
 }
 
 // simultaneousWindow is the time within which crashes count once against a request whose response
-// had started or that was answered recently: what terminates many processes at once isn't a request
-// that ran well. All crashes count against a request that an eager caller retries from crash to
-// crash, since it had no response.
+// had started or that was answered recently: when many processes terminate at once, a request that
+// ran well isn't the cause. Against a request without a response each crash counts, also where an
+// eager caller retries it from crash to crash within this time.
 const simultaneousWindow = 100 * time.Millisecond
 
 // scores adds up the suspicion of each request over the crashes that count and have no known cause.
