--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// isHubCandidate reports whether a member may be considered as a hub.
+// isHubCandidate reports whether a member may become a hub: it doesn't drain, and it is reachable, or
+// was attested within candidatePeriod and no link to it has failed since.
 func (t *Table) isHubCandidate(now time.Time, e *entry) bool {
 	recently := e.lastAliveAt.After(e.linkFailedAt) && now.Sub(e.lastAliveAt) < candidatePeriod
 	return !e.Draining && (recently || t.isReachable(now, e))
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -7,7 +7,7 @@
 
 // Member is one instance of the fleet.
 type Member struct {
-	// Address for peers.
+	// Address is the address under which peers reach it.
 	Address string
 	// Zone is its availability zone.
 	Zone string
@@ -86,8 +86,9 @@
 	linked, hubLinked, alive bool
 }
 
-// update merges received data about the member. It reports whether the data concerns the member's
-// current process. A link to a process is proof of it; an update may be older than what is known.
+// update merges received data about the member, and reports whether the data concerns the member's
+// current process. With proof, which a link to the process is, the data replaces another incarnation
+// in any case; an update from a peer may be older than what is known.
 func (e *entry) update(m Member, proof bool) bool {
 	switch {
 	case m.Incarnation == e.Incarnation:
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -36,7 +36,8 @@
 	widenInterval = 200 * time.Millisecond
 	// maxWidenSteps bounds how often it does so: to 192 instances, more than a zone has.
 	maxWidenSteps = 6
-	// hubCachePeriod is how long computed hubs are reused: candidates also change with time.
+	// hubCachePeriod is how long computed hubs are reused while the table doesn't change: candidates
+	// also change with the passage of time alone.
 	hubCachePeriod = time.Second
 )
 
@@ -282,8 +283,9 @@
 }
 
 // SendsBootstrap reports whether a peer that has dialled this instance gets a Bootstrap update: it
-// gets no Indirect updates, and has just started or reports that it knows far fewer instances. Any
-// instance may be the only one that the peer knows; a seed needn't know that it is one.
+// gets no Indirect updates, and has just started or reports that it knows far fewer instances. This
+// holds on every instance, not only on seeds: any instance may be the only one that the peer knows,
+// and one that others use as a seed may not know that it is a seed.
 func (o *Overlay) SendsBootstrap(now time.Time, peer string, known int) bool {
 	e := o.members[peer]
 	if e == nil || o.KindFor(now, peer) == Indirect {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -17,8 +17,8 @@
 	// holdPeriod is how long the updates of the last hub of this instance's zone still count after the
 	// link to it has ended: until the next hubs are linked and have sent theirs.
 	holdPeriod = time.Second
-	// forgetAfter is how long an instance that is no longer attested stays known. After a network
-	// partition it is back within this time, and it counts as a part of the fleet meanwhile.
+	// forgetAfter is how long an instance that is no longer attested stays known. One that is cut off
+	// by a network partition is back within this time, and counts as a part of the fleet meanwhile.
 	forgetAfter = time.Minute
 )
 
@@ -49,8 +49,8 @@
 	return &Table{self: self, members: map[string]*entry{}, sources: map[string]*source{}}
 }
 
-// ChangeCount returns the number of changes of the members and of which of them are reachable so far.
-// Changes that come with the passage of time alone don't count.
+// ChangeCount returns the number of changes so far of the members and of their reachability. Changes
+// that come with the passage of time alone don't count.
 func (t *Table) ChangeCount() uint64 { return t.change }
 
 // Member returns what is known of an address.
