--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -8,5 +8,5 @@
 // A link is a WebSocket connection with one CBOR frame per message. Requests share it by stream
 // number, with flow control per stream. A frame that is malformed, too large or of an unknown
 // version closes the link with a typed error. The requests on it are sent again on a new link,
-// which is safe because the issuer of a key recognises retries.
+// which is safe because the instance that issued a request's idempotency key recognises retries.
 package peer
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -62,7 +62,8 @@
 	Zone        string
 	Incarnation uint64
 	// Cores is the processor time that this instance has, in cores; 0 means unknown.
-	Cores     float64
+	Cores float64
+	// Heartbeat is the interval between heartbeats.
 	Heartbeat time.Duration
 	// CrossZoneEvery makes one heartbeat in that many to peers of other availability zones a whole
 	// one; the others are brief. With 0 or 1 all are whole.
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -326,8 +326,8 @@
 	return out
 }
 
-// MembershipChangeCount returns the number of changes of the set of peers and of their reachability
-// so far. Changes that come with the passage of time alone don't count. It is 0 in a full mesh.
+// MembershipChangeCount returns the number of changes so far of the set of peers and of their
+// reachability. Changes that come with the passage of time alone don't count. It is 0 in a full mesh.
 func (m *Mesh) MembershipChangeCount() uint64 {
 	if m.sparse == nil {
 		return 0
