--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -402,9 +402,10 @@
 type outputRatio struct{ ratio float64 }
 
 const (
-	// initialOutputRatio is the share assumed until responses have been observed.
+	// initialOutputRatio is the share of its output limit that a response is assumed to use until
+	// responses have been observed.
 	initialOutputRatio = 0.5
-	// outputRatioGain is the weight of one response.
+	// outputRatioGain is the weight of one response in the estimate.
 	outputRatioGain = 0.05
 )
 
--- a/internal/scheduler/length_error.go
+++ b/internal/scheduler/length_error.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// initialSpread is the standard deviation assumed until lengths have been observed.
+	// initialSpread is the standard deviation of the logarithm that is assumed until lengths have
+	// been observed.
 	initialSpread = 0.5
 	// spreadGain is the weight of one response; the estimate averages over about a hundred.
 	spreadGain = 0.01
