--- a/internal/peer/fleet_size.go
+++ b/internal/peer/fleet_size.go
@@ -15,8 +15,8 @@
 	return len(m.peers)
 }
 
-// FleetSize returns the number of instances, including this one, by the largest count that any peer
-// has reported; 0 while there are peers and none has been seen.
+// FleetSize returns the number of instances, including this one: the largest count that this instance
+// knows or any peer has reported. It is 0 while there are peers or seeds and no peer has been seen.
 func (m *Mesh) FleetSize() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -49,7 +49,7 @@
 	HandleQuotaReturn(r *QuotaReturn)
 	// LinkLost is called when the link to a peer has ended. The link may come back.
 	LinkLost(address string)
-	// PeerLost is called once when a peer wasn't seen for SuspectAfter.
+	// PeerLost is called once each time a peer hasn't been seen for SuspectAfter.
 	PeerLost(address string)
 }
 
--- a/internal/peer/sparse.go
+++ b/internal/peer/sparse.go
@@ -51,7 +51,7 @@
 // mesh's lock.
 type linkControl struct {
 	lastUsed      time.Time     // when a link was last requested
-	dialDone      chan struct{} // closed once the dial in progress has ended or its link is up; nil while none is
+	dialDone      chan struct{} // closed once the dial in progress has ended or its link is up; nil if none is in progress
 	nextDial      time.Time     // earliest time of the next dial
 	redialBackoff *backoff.ExponentialBackOff
 
@@ -231,8 +231,8 @@
 }
 
 // useLink records that a link to a peer is used. It returns the link if it is up. Otherwise it
-// starts a dial and returns the channel that is closed when the dial has ended; nil if none is in
-// progress.
+// starts a dial and returns the channel that is closed when the dial has ended or its link is up; nil
+// if none is in progress.
 func (m *Mesh) useLink(address string) (*link, <-chan struct{}) {
 	if m.sparse == nil {
 		return m.reachableLink(address), nil
