--- a/internal/scheduler/backfill.go
+++ b/internal/scheduler/backfill.go
@@ -15,7 +15,7 @@
 	// backfillShare is the share of all slot time that backfill may use, and so the most that
 	// higher tiers lose to it.
 	backfillShare = 0.03
-	// maxBackfillAllowance bounds the allowance that accrues.
+	// maxBackfillAllowance bounds the slot time that accrues for backfill while it isn't used.
 	maxBackfillAllowance = 500 * time.Millisecond
 	// grantCountHalfLife is the time in which the counts of arrived and granted requests lose half
 	// their weight.
--- a/internal/scheduler/cold_start.go
+++ b/internal/scheduler/cold_start.go
@@ -61,8 +61,9 @@
 	// movedShare is what warmShare leaves of MaxPerSecond. The previous owner may have granted all
 	// of warmShare in the second in which an upstream moves to another shard.
 	movedShare = 1 - warmShare
-	// isolatedWarmGrants is the grant limit of an isolated instance. It serves only its own
-	// callers, whose requests amount to less than one per second and upstream.
+	// isolatedWarmGrants is the grant limit of an isolated instance, in requests per upstream (see
+	// balancer.GrantLimits). It serves only its own callers, whose requests amount to less than one
+	// per second and upstream.
 	isolatedWarmGrants = 2
 )
 
